--- a/ebonybend/control/__init__.py
+++ b/ebonybend/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control process: follows the platform, probes, exchanges, administers."""
+"""The control process: platform watch, probes, peer exchange, administration API."""
--- a/ebonybend/control/admin.py
+++ b/ebonybend/control/admin.py
@@ -1,4 +1,4 @@
-"""The administration API."""
+"""Serve the administration API."""
 
 from ebonybend.control.core import ControlCore
 from ebonybend.control.metrics import CONTENT_TYPE, ControlMetrics
@@ -15,7 +15,7 @@
 
 
 class Admin:
-    """Answer operators and monitoring."""
+    """Handle the requests of operators and monitoring systems."""
 
     def __init__(self, core: ControlCore):
         self.core = core
@@ -33,12 +33,12 @@
         self.router.add("GET", "/metrics", self.metrics_text)
 
     async def status(self, _request: IncomingRequest) -> OutgoingAnswer:
-        """Answer what is in force where."""
+        """Return the state of the system and the revisions in force."""
         self._require_ready()
         return json_answer(self.core.status.status())
 
     async def where(self, request: IncomingRequest) -> OutgoingAnswer:
-        """Answer where a look-up or a request goes, and why."""
+        """Return how a lookup is answered or a request is routed, and why."""
         self._require_ready()
         answer = self.core.explainer.explain(
             self.core.builder.current(),
@@ -49,18 +49,18 @@
         return json_answer(answer)
 
     async def livez(self, _request: IncomingRequest) -> OutgoingAnswer:
-        """Answer that the process runs."""
+        """Return 200 while the process runs."""
         return OutgoingAnswer(200, b"ok\n", PLAIN)
 
     async def readyz(self, _request: IncomingRequest) -> OutgoingAnswer:
-        """Answer whether this control has synchronised and isn't stopping."""
+        """Return 200 if this control has synchronised and isn't stopping."""
         if self.core.stopping:
             raise SteeringError(ErrorKind.DRAINING, "stopping")
         self._require_ready()
         return OutgoingAnswer(200, b"ok\n", PLAIN)
 
     async def metrics_text(self, _request: IncomingRequest) -> OutgoingAnswer:
-        """Answer the metrics."""
+        """Return the metrics in Prometheus' text format."""
         return OutgoingAnswer(200, self.metrics.text(), {"Content-Type": CONTENT_TYPE})
 
     def _require_ready(self) -> None:
--- a/ebonybend/control/admin_messages.py
+++ b/ebonybend/control/admin_messages.py
@@ -5,13 +5,14 @@
                       Change-Id. 200 ApplyAnswer; 412 ConflictAnswer; 422 CheckAnswer.
                       Author and Reason are percent-encoded UTF-8. A Change-Id that
                       was accepted before is answered 200 with its revision, whatever
-                      If-Match says; 503 platform_unavailable if that isn't known.
+                      If-Match says; 503 platform_unavailable if it is not known
+                      whether the change was accepted.
 POST /v1/rules/check  body: rules text (UTF-8). 200 CheckAnswer.
 GET  /v1/status       StatusAnswer
 GET  /v1/history      HistoryAnswer; ?limit=N, newest first
 GET  /v1/where        WhereAnswer; ?client=IP&service=NAME&method=GET, each optional,
                       but at least one of client and service
-Every other refusal is an ErrorBody of ebonybend.http_server.
+Every other error is an ErrorBody of ebonybend.http_server.
 """
 
 from attrs import frozen
@@ -22,7 +23,7 @@
 
 @frozen
 class RulesAnswer:
-    """The rules text that was accepted last."""
+    """The newest accepted rules text."""
 
     revision: int
     text: str
@@ -31,8 +32,8 @@
     change_id: str
     # Time of acceptance, seconds since the epoch.
     at: float
-    # The control's time, seconds since the epoch. The tool decides by it which rules
-    # are over, since an operator's machine may be wrong; 0 if not given.
+    # The control's time, seconds since the epoch; 0 if not given. The tool decides by
+    # it which rules have expired, since an operator's clock may be wrong.
     now: float = 0.0
 
 
@@ -48,7 +49,7 @@
 class ConflictAnswer:
     """Another change was accepted first."""
 
-    # The revision in the platform, with its author and reason.
+    # The revision stored in the platform, with its author and reason.
     revision: int
     author: str
     reason: str
@@ -58,29 +59,29 @@
 
 @frozen
 class CheckAnswer:
-    """What is wrong with a text; nothing if it can be applied."""
+    """The errors of a rules text; empty if it can be applied."""
 
     errors: tuple[RuleError, ...] = ()
 
 
 @frozen
 class InstanceStatus:
-    """One instance of the roster or of the platform's list."""
+    """One instance of the planned deployment or of the platform's list."""
 
     name: str
     failure_domain: str
-    # live, leaving, or unknown if nothing was heard of it.
+    # live, leaving, or unknown if it was never seen.
     state: str
-    # Revision that its entry process reported; 0 if nothing was heard of it.
+    # Revision that its entry process reported; 0 if it was never seen.
     rules_revision: int
-    # Time since it was last heard of; negative if never.
+    # Time since it was last seen; negative if never.
     age_ms: float
     reachable: bool
 
 
 @frozen
 class ServerStatus:
-    """One backend server as its failure domain's entries use it."""
+    """One backend server as seen by the entries of its failure domain."""
 
     name: str
     service: str
@@ -93,7 +94,7 @@
 
 @frozen
 class ShiftStatus:
-    """What was sent under one shift or cap, over all senders."""
+    """Traffic sent under one shift or cap by all senders."""
 
     # Canonical text of the rule.
     rule: str
@@ -118,7 +119,7 @@
 
     # The newest accepted revision that this control knows.
     revision: int
-    # There are listed instances, and waiting_for is empty.
+    # True if there are listed instances and waiting_for is empty.
     in_force_everywhere: bool
     # The planned and the listed instances.
     instances: tuple[InstanceStatus, ...] = ()
@@ -126,7 +127,7 @@
     shifts: tuple[ShiftStatus, ...] = ()
     suspects: tuple[SuspectStatus, ...] = ()
     platform_reachable: bool = True
-    # Listed instances that have not reported the revision from their entry process.
+    # Listed instances whose entry process has not reported the revision as in force.
     waiting_for: tuple[str, ...] = ()
 
 
@@ -139,17 +140,17 @@
 
 @frozen
 class DomainChoice:
-    """One failure domain in the order of choice."""
+    """One failure domain, in order of preference."""
 
     name: str
     score: float
-    # The figures and the rules behind the score, for people.
+    # Human-readable figures and rules behind the score.
     why: str = ""
 
 
 @frozen
 class ServerChoice:
-    """One backend server of the chosen failure domain in the order of choice."""
+    """One backend server of the chosen failure domain, in order of preference."""
 
     name: str
     score: float
@@ -158,17 +159,17 @@
 
 @frozen
 class WhereAnswer:
-    """Why a look-up or a request goes where it goes."""
+    """How a lookup is answered and a request is routed, and why."""
 
     client: str | None = None
-    # Site of the client's block, or None if the block isn't known.
+    # Site of the client's address block, or None if the block isn't known.
     site: str | None = None
-    # Names of the instances that a look-up lists, best first.
+    # Names of the instances that a lookup returns, best first.
     instances: tuple[str, ...] = ()
     service: str | None = None
-    # Rules that bear on the choice, with author and reason.
+    # Rules that affect the choice, with author and reason.
     rules: tuple[str, ...] = ()
     domains: tuple[DomainChoice, ...] = ()
     servers: tuple[ServerChoice, ...] = ()
-    # The reasoning in full lines, for people.
+    # Human-readable explanation, one line each.
     explanation: tuple[str, ...] = ()
--- a/ebonybend/control/audit.py
+++ b/ebonybend/control/audit.py
@@ -10,15 +10,15 @@
 from ebonybend.store.audit_entry import AuditEntry
 from ebonybend.store.audit_log import AuditLog
 
-# Bounds the platform's writes to one for each control in this time.
+# Limits the writes to the platform to one per control in this period.
 FLUSH_PERIOD_S = 2.0
-# Kept while the platform is down; the oldest are dropped first.
+# Limit while the platform is unavailable; the oldest events are dropped first.
 MAX_WAITING = 500
 MAX_DETAIL = 2000
 
 
 class AuditQueue:
-    """Events that wait to be written."""
+    """Queue of events to be written to the audit log."""
 
     def __init__(self, log: AuditLog, instance: str, wall: Callable[[], float] = time):
         self.log = log
@@ -29,7 +29,7 @@
         self.dropped = 0
 
     def note(self, event: str, detail: str) -> None:
-        """Record an automatic event."""
+        """Queue an event that no person caused."""
         self.add(event, self.instance, detail)
 
     def add(
@@ -41,7 +41,7 @@
         change_id: str = "",
         reason: str = "",
     ) -> None:
-        """Record an event that somebody caused."""
+        """Queue an event with its author."""
         get_logger().info("audit", audit_event=event, author=author, detail=detail)
         entry = AuditEntry(
             self.wall(),
@@ -58,7 +58,7 @@
             self.dropped += 1
 
     async def flush(self) -> None:
-        """Write what waits; keep it for the next time if that fails."""
+        """Write the queued events; keep them for the next flush if that fails."""
         entries = tuple(self.waiting)
         if not entries:
             return
--- a/ebonybend/control/changes.py
+++ b/ebonybend/control/changes.py
@@ -1,16 +1,16 @@
-"""Note the automatic changes of the own failure domain for the audit log."""
+"""Record state changes of the local failure domain in the audit log."""
 
 from ebonybend.control.audit import AuditQueue
 from ebonybend.control.members import Members
 from ebonybend.control.table_builder import TableBuilder
 from ebonybend.world import LifeState, ServerState
 
-# A server that becomes ready after a cold start is no event.
+# A server that becomes ready after a cold start is not audited.
 NOTED_STATES = frozenset({ServerState.DRAINING, ServerState.DOWN})
 
 
 class ChangeNotes:
-    """Compare states each second; only the lowest-named live control writes."""
+    """Compare the states each second; only the leader records the differences."""
 
     def __init__(self, members: Members, builder: TableBuilder, audit: AuditQueue):
         self.members = members
@@ -21,14 +21,14 @@
         self.refused: set[str] = set()
 
     def compare(self) -> None:
-        """Note what changed since the last call."""
+        """Record the states that changed since the last call."""
         leader = self.members.is_leader()
         for event, name in (*self._servers(), *self._instances()):
             if leader:
                 self.audit.note(event, name)
 
     def refusals(self, fingerprints: set[str]) -> None:
-        """Note requests that the own entry process reports as newly refused."""
+        """Record requests that the local entry process newly reports as refused."""
         for fingerprint in sorted(fingerprints - self.refused):
             self.audit.note("suspect_refused", fingerprint)
         self.refused = fingerprints
--- a/ebonybend/control/client_map.py
+++ b/ebonybend/control/client_map.py
@@ -1,4 +1,4 @@
-"""Hold the shards of the client map and serve them to the entry and to peers."""
+"""Fetch the shards of the client map and serve them to the entry and to peers."""
 
 from collections.abc import Callable
 from random import Random
@@ -19,7 +19,7 @@
 from ebonybend.tasks import Tasks, Timers
 
 KIND = "clientmap"
-# Peers of other domains that are asked when no near source has a shard.
+# Number of peers of other domains that are asked if no local peer has a shard.
 FAR_SOURCES = 2
 
 
@@ -27,12 +27,12 @@
 class ClientMapObject:
     """The value of a platform object of the kind clientmap."""
 
-    # In JSON, base64.
+    # Base64 in JSON.
     body: bytes
 
 
 class ClientMapShards:
-    """The newest complete set of shards."""
+    """Fetch and keep the newest complete set of shards."""
 
     def __init__(
         self,
@@ -48,11 +48,11 @@
         self.members = members
         self.store = store
         self.transport = transport
-        # What the own watch of the platform has read.
+        # Returns a shard's object as last read by the local watch, or None.
         self.watched = watched
         self.random = random
         self.tasks = Tasks(timers)
-        # The complete set that is offered, and its version.
+        # Version and shard names of the newest complete set.
         self.version = 0
         self.names: tuple[str, ...] = ()
         self.held: dict[ShardVersion, bytes] = {}
@@ -69,7 +69,7 @@
         return ClientMapShard(self.version, shards, body or b"")
 
     def body(self, name: str, version: int | None = None) -> bytes | None:
-        """Return a shard that is held, of a version or of any."""
+        """Return the body of a shard, of any version if none is given, or None."""
         for shard, body in self.held.items():
             if shard.name == name and version in (None, shard.version):
                 return body
@@ -81,7 +81,7 @@
             self.tasks.start(self._complete())
 
     async def _complete(self) -> None:
-        """Fetch what is missing, until the newest version is whole."""
+        """Fetch missing shards until the set of the newest version is complete."""
         backoff = Backoff(self.random)
         try:
             while not await self._try_complete():
@@ -101,7 +101,7 @@
                 return False
             found[shard] = body
         if version != self.replica.version(Kind.CLIENT_MAP):
-            # It changed meanwhile; what was fetched is kept for the next try.
+            # The map changed meanwhile; the next try reuses the fetched shards.
             self.held.update(found)
             return False
         self.held = found
@@ -125,9 +125,9 @@
         return None
 
     def _sources(self) -> list[Peer]:
-        """Return the peers to ask: the own domain's, lowest name first, then others.
+        """Return the peers to ask: live local ones by name, then a few remote ones.
 
-        Fetching near first keeps the reads of the platform from growing with the fleet.
+        Asking local peers first keeps platform reads from growing with the fleet.
         """
         domain = self.members.failure_domain
         peers = self.members.peers()
--- a/ebonybend/control/core.py
+++ b/ebonybend/control/core.py
@@ -1,4 +1,4 @@
-"""The state of one control process and its loops, without ports or signals."""
+"""Connect the parts of a control process and run its periodic tasks."""
 
 from random import Random
 
@@ -39,17 +39,18 @@
 
 RECORD_PERIOD_S = 1.0
 DUTY_PERIOD_S = 0.5
-# The entry waits this long at most until its crash notice is sent on.
+# Maximum time for which the reply to an entry waits until its crash report is sent on.
 SUSPECT_PUSH_S = 0.3
-# A peer's notice is answered once the own entry has it, or after this time; half of
-# what the peer waits, so that an entry that is gone delays nobody else.
+# Maximum time for which the reply to a peer waits until the local entry process has
+# the peer's suspects. Half of the time that the peer waits, so that a terminated entry
+# process delays no other instance.
 ENTRY_INFORMED_S = 0.15
-# Longest time for which the entry's call for a notice is held.
+# Maximum duration of the entry's long poll for a notice.
 NOTICE_HOLD_S = 5.0
 
 
 class ControlCore:
-    """Everything that one control process knows and does."""
+    """One control process without its ports and signal handlers."""
 
     def __init__(
         self,
@@ -69,7 +70,7 @@
         self.random = random
         self.tasks = Tasks(timers)
         self.synchronised = False
-        # Set from the first stop signal on.
+        # True after the first stop signal.
         self.stopping = False
         self.cleared: frozenset[str] = frozenset()
         self.replica = Replica(clock)
@@ -139,7 +140,7 @@
         self.replica.listen(Kind.SERVERS, self._servers_listed)
 
     async def synchronise(self) -> None:
-        """Read the platform and the peers until one of them has answered."""
+        """Read the platform and the peers; retry until one of them has answered."""
         backoff = Backoff(self.random)
         while not self.synchronised and not self.tasks.stopped:
             if await self._synchronise_once():
@@ -150,25 +151,25 @@
             await self.tasks.sleep(backoff.next())
 
     async def _synchronise_once(self) -> bool:
-        """Ask every source, so that no newer revision within reach is missed."""
+        """Read all sources, so that the newest reachable revision is found."""
         self.own_records.write_instance()
         asking = Deferred.fromCoroutine(self.exchange.synchronise())
         read = await self.feed.read()
         ready_peers = await asking
-        # The platform's list or the first peers may have named more peers.
+        # The platform's list or the first replies may have named more peers.
         ready_peers += await self.exchange.synchronise()
         planned = self.replica.get(Kind.DEPLOYMENT) is not None
         return planned and (read or ready_peers > 0)
 
     def start(self) -> None:
-        """Start the loops; call once synchronised."""
+        """Start the periodic tasks; call after synchronise."""
         self.tasks.repeat(RECORD_PERIOD_S, self._renew)
         self.tasks.repeat(DUTY_PERIOD_S, self._check_duty)
         self.tasks.repeat(PROBE_PERIOD_S, self.prober.round)
         self.tasks.repeat(FLUSH_PERIOD_S, self.audit.flush)
 
     def stop(self) -> None:
-        """Stop all loops."""
+        """Stop all tasks."""
         self.tasks.stop()
         self.exchange.tasks.stop()
         self.shards.tasks.stop()
@@ -176,7 +177,7 @@
         self.feed.stop()
 
     async def entry_report(self, report: EntryReport) -> TableReply:
-        """Take the entry's report and return what it lacks."""
+        """Record the entry's report and return the table if the entry lacks it."""
         urgent = self.entry.accept(report)
         if urgent:
             self._write_records()
@@ -187,12 +188,12 @@
         return self._reply(report)
 
     async def notice(self, request: NoticeRequest) -> NoticeReply:
-        """Answer the entry process when it should report, or after a time."""
+        """Return when the entry process should report, or after a maximum wait."""
         told = await self.notices.wait_told(request.taken, NOTICE_HOLD_S)
         return NoticeReply(told)
 
     async def entry_informed(self) -> None:
-        """Return once the entry process is given what peers told, or after a time."""
+        """Wait until the entry process has the peers' suspects, or until a timeout."""
         await self.notices.wait_taken(ENTRY_INFORMED_S)
 
     def _suspects_told(self) -> None:
@@ -201,7 +202,7 @@
 
     def _reply(self, report: EntryReport) -> TableReply:
         if not self.synchronised or report.rules_revision > self.rules.revision:
-            # A table with an older revision would be refused by the entry.
+            # The entry refuses a table with an older revision.
             return TableReply(age_ms=self._age_ms())
         table = self.builder.current()
         if table is None:
@@ -225,7 +226,7 @@
     def _take_suspects(self, report: EntryReport) -> bool:
         changes = [self.suspects.merge(_suspect(view)) for view in report.suspects]
         self.changes.refusals({x.fingerprint for x in report.suspects if x.refused})
-        # A report repeats what was cleared, also after a later crash elsewhere.
+        # Each report repeats what was cleared, also after a later crash elsewhere.
         cleared = frozenset(report.cleared)
         changes += [self.suspects.clear(name) for name in cleared - self.cleared]
         self.cleared = cleared
@@ -259,7 +260,7 @@
         self.exchange.round()
 
     def _write_records(self) -> None:
-        """Renew the own records; tell others at once which revision is in force."""
+        """Write this control's records; push changed revisions in force at once."""
         before = self._in_force()
         self.own_records.write()
         if self.members.is_leader() and self._in_force() != before:
--- a/ebonybend/control/entry_link.py
+++ b/ebonybend/control/entry_link.py
@@ -1,15 +1,15 @@
-"""What this instance's entry process last reported."""
+"""Track the reports of this instance's entry process."""
 
 from ebonybend.clock import Clock
 from ebonybend.steering.table import EntryReport
 from ebonybend.world import LifeState
 
-# Four missed reports.
+# The time of four missed reports.
 ENTRY_SILENCE_S = 1.5
 
 
 class EntryLink:
-    """Keep the last report of the entry process."""
+    """Keep the last report of the entry process and derive its readiness."""
 
     def __init__(self, clock: Clock):
         self.clock = clock
@@ -17,7 +17,7 @@
         self.received_at = 0.0
 
     def accept(self, report: EntryReport) -> bool:
-        """Keep a report; return whether the instance record must be renewed."""
+        """Record a report; return whether the instance's records must be written."""
         if self.report is not None and report.incarnation < self.report.incarnation:
             return False
         before = self._identity()
@@ -27,14 +27,14 @@
 
     @property
     def age_s(self) -> float:
-        """Return the time since the last report; infinite without one."""
+        """Return the time since the last report, infinite if there was none."""
         if self.report is None:
             return float("inf")
         return self.clock.monotonic() - self.received_at
 
     @property
     def ready(self) -> bool:
-        """Return whether the entry process lives, has a table and takes callers."""
+        """Return whether the entry process runs, has a table and accepts clients."""
         if self.report is None or self.age_s > ENTRY_SILENCE_S:
             return False
         return self.report.table_serial > 0 and self.report.state is LifeState.LIVE
--- a/ebonybend/control/entry_server.py
+++ b/ebonybend/control/entry_server.py
@@ -1,4 +1,4 @@
-"""Serve the entry process over gRPC on the loop that twisted runs on."""
+"""Serve the entry process over gRPC on the asyncio loop of twisted's reactor."""
 
 from asyncio import ensure_future, get_running_loop
 from collections.abc import Awaitable, Callable
@@ -36,7 +36,7 @@
 
 
 class EntryServer:
-    """The gRPC service ebonybend.Control; handlers are coroutines on Deferreds."""
+    """Serve ebonybend.Control over gRPC; the handlers are coroutines on Deferreds."""
 
     def __init__(
         self,
--- a/ebonybend/control/health_client.py
+++ b/ebonybend/control/health_client.py
@@ -1,4 +1,4 @@
-"""Ask a backend server for its health."""
+"""Query the health of a backend server."""
 
 from attrs import frozen
 
@@ -19,16 +19,16 @@
 
 
 class ProbeFailed(Exception):
-    """A probe that got no usable answer."""
+    """Raised if a probe got no usable answer."""
 
     def __init__(self, message: str, refused: bool = False):
         super().__init__(message)
-        # The port refused the connection, so no process listens on it.
+        # True if the port refused the connection, so no process listens on it.
         self.refused = refused
 
 
 class HealthClient:
-    """Ask one server for its health over a persistent connection."""
+    """Query the health of one server over a persistent connection."""
 
     def __init__(self, http: HttpClient, address: str):
         self.http = http
--- a/ebonybend/control/members.py
+++ b/ebonybend/control/members.py
@@ -1,4 +1,4 @@
-"""Which control processes of the failure domain are alive, and who does what."""
+"""Track which control processes are live, and which of them leads or watches."""
 
 from attrs import frozen
 
@@ -10,13 +10,13 @@
     LoadRecord,
 )
 
-# A control that renewed its load record within this time is alive.
+# A control is live if its load record was renewed within this time.
 SILENCE_S = 3.0
 
 
 @frozen
 class Peer:
-    """Where another control process is reached."""
+    """Name, failure domain and address of another control process."""
 
     name: str
     failure_domain: str
@@ -24,7 +24,7 @@
 
 
 class Members:
-    """The instances of all failure domains as records and lists name them."""
+    """Instances of all failure domains, from records and the platform's lists."""
 
     def __init__(self, own: str, failure_domain: str, replica: Replica):
         self.own = own
@@ -35,11 +35,11 @@
             replica.listen(kind, self._forget)
 
     def is_live(self, name: str) -> bool:
-        """Return whether a control of the own domain is alive."""
+        """Return whether a control of the local domain is live."""
         return name == self.own or self.replica.age_s(Kind.LOAD, name) < SILENCE_S
 
     def live_loads(self) -> dict[str, LoadRecord]:
-        """Return the load records of the live controls of the own domain."""
+        """Return the load records of the live controls of the local domain."""
         loads = self.replica.bodies(Kind.LOAD)
         return {name: load for name, load in loads.items() if self.is_live(name)}
 
@@ -50,19 +50,19 @@
     def should_watch(self) -> bool:
         """Return whether this control watches the platform for its domain.
 
-        A control watches when each live control with a lower name fails to.
+        A control watches if the watch of each live control with a lower name fails.
         """
         loads = self.live_loads().items()
         return all(load.watch_failing for name, load in loads if name < self.own)
 
     def peers(self) -> tuple[Peer, ...]:
-        """Return all known controls but the own, by name."""
+        """Return all known controls except this one, by name."""
         if self._peers is None:
             self._peers = self._find_peers()
         return self._peers
 
     def domain_names(self) -> tuple[str, ...]:
-        """Return the names of the own domain's listed and known instances."""
+        """Return the names of the local domain's listed and live instances."""
         listing = self.replica.get(Kind.INSTANCES, self.failure_domain)
         names = {self.own, *self.live_loads()}
         names.update(item.name for item in (listing or InstanceListing()).items)
@@ -78,7 +78,7 @@
                 found[item.name] = Peer(
                     item.name, item.failure_domain, item.control_address
                 )
-        # A replaced instance tells its new address before the list shows it.
+        # The record of a replaced instance has its new address before the list does.
         records: dict[str, InstanceRecord] = self.replica.bodies(Kind.INSTANCE)
         for name, record in records.items():
             found[name] = Peer(name, record.failure_domain, record.control_address)
--- a/ebonybend/control/metrics.py
+++ b/ebonybend/control/metrics.py
@@ -13,7 +13,7 @@
 
 
 class ControlMetrics(Collector):
-    """Read the state of the process when it is asked for."""
+    """Collect the state of the process at each scrape."""
 
     def __init__(self, core: ControlCore):
         self.core = core
@@ -22,11 +22,11 @@
         ProcessCollector(registry=self.registry)
 
     def text(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in Prometheus' text format."""
         return generate_latest(self.registry)
 
     def collect(self) -> Iterator[GaugeMetricFamily | CounterMetricFamily]:
-        """Return the metrics of this moment."""
+        """Return the current values of all metrics."""
         yield from self._gauges()
         yield from self._counters()
         yield self._servers()
--- a/ebonybend/control/notices.py
+++ b/ebonybend/control/notices.py
@@ -1,4 +1,4 @@
-"""Tell the entry process at once what can't wait for its next report."""
+"""Notify the entry process of changes that can't wait for its next report."""
 
 from twisted.internet.defer import CancelledError, Deferred
 
@@ -6,12 +6,12 @@
 
 
 class Notices:
-    """Count notices; wake who waits for one, or for the entry to take one."""
+    """Count notices, and let coroutines wait for a notice or for its delivery."""
 
     def __init__(self, timers: Timers):
         self.timers = timers
         self.told = 0
-        # Notices whose content the entry process was given.
+        # Number of notices whose content was delivered to the entry process.
         self.taken = 0
         self.waiting: list[Deferred[None]] = []
 
@@ -21,20 +21,20 @@
         self._wake()
 
     def take(self) -> None:
-        """Take in that the entry process is given all that was told."""
+        """Record that the content of all notices so far is delivered."""
         if self.taken < self.told:
             self.taken = self.told
             self._wake()
 
     async def wait_told(self, known: int, longest_s: float) -> int:
-        """Return the number of notices once it differs from a known one."""
+        """Return the number of notices once it isn't the known one, or at a timeout."""
         end = self.timers.seconds() + longest_s
         while self.told == known and self.timers.seconds() < end:
             await self._changed(end)
         return self.told
 
     async def wait_taken(self, longest_s: float) -> None:
-        """Return once all that was told so far is taken, or after a time."""
+        """Wait until all notices so far are delivered, or for the maximum wait."""
         told = self.told
         end = self.timers.seconds() + longest_s
         while self.taken < told and self.timers.seconds() < end:
--- a/ebonybend/control/own_records.py
+++ b/ebonybend/control/own_records.py
@@ -24,7 +24,7 @@
 
 
 class OwnRecords:
-    """The own instance's records and, as the lowest-named control, the domain's."""
+    """Write the records of this instance and, if it leads, of its domain."""
 
     def __init__(
         self,
@@ -45,14 +45,14 @@
         self.first_version = instance_version(incarnation_s, 0)
 
     def write(self) -> None:
-        """Renew all own records."""
+        """Write all records that this control owns."""
         self.write_instance()
         self._write(Kind.LOAD, self._load())
         if self.members.is_leader():
             self._write_domain()
 
     def write_instance(self) -> None:
-        """Renew the instance record if anything but its key epoch changed."""
+        """Write the instance record if anything except its key epoch changed."""
         record = self._instance()
         known = self.replica.get(Kind.INSTANCE, self.settings.instance)
         same = known and evolve(known, key_epoch=record.key_epoch) == record
@@ -61,7 +61,7 @@
 
     def _write(self, kind: Kind, body: InstanceRecord | LoadRecord) -> None:
         name = self.settings.instance
-        # Peers may hold a record of an earlier incarnation whose clock was ahead.
+        # Peers may have a record of an earlier incarnation whose clock was ahead.
         version = max(self.first_version, self.replica.version(kind, name)) + 1
         self.replica.write(kind, name, version, body, name)
 
@@ -89,7 +89,7 @@
 
     def _load(self) -> LoadRecord:
         report = self.entry.report
-        # The load of a silent entry process is not known any more.
+        # Without recent reports the load of the entry process is unknown.
         live = report is not None and self.entry.age_s < SILENCE_S
         return LoadRecord(
             self.settings.instance,
@@ -108,7 +108,7 @@
         self.replica.write(Kind.DOMAIN, name, version, summary, self.settings.instance)
 
     def domain_summary(self) -> DomainSummary:
-        """Return the summary of the own domain."""
+        """Return the summary of the local domain."""
         domain = self.settings.failure_domain
         deployment = self.replica.get(Kind.DEPLOYMENT)
         planned = deployment and deployment.deployment.domain(domain)
@@ -137,7 +137,7 @@
         )
 
     def _last(self, name: str) -> int:
-        """Return the revision that a silent instance reported last."""
+        """Return the last reported revision of an instance that isn't live."""
         load = self.replica.get(Kind.LOAD, name)
         return load.rules_revision if load else 0
 
@@ -152,7 +152,7 @@
 
 
 def sum_shifts(reports: Iterable[tuple[ShiftUsage, ...]]) -> tuple[ShiftUsage, ...]:
-    """Add up what was sent under each shift or cap."""
+    """Add up the traffic sent under each shift or cap."""
     totals: dict[str, ShiftUsage] = {}
     for report in reports:
         for usage in report:
--- a/ebonybend/control/platform_feed.py
+++ b/ebonybend/control/platform_feed.py
@@ -1,4 +1,4 @@
-"""Turn the platform's objects into records."""
+"""Convert the platform's objects to records."""
 
 from collections.abc import Iterable, Mapping
 from random import Random
@@ -29,7 +29,7 @@
 
 
 class PlatformFeed:
-    """Read and watch the platform, and write what it holds into the replica."""
+    """Read and watch the platform, and write its objects to the replica."""
 
     def __init__(
         self, store: ObjectStore, replica: Replica, timers: Timers, random: Random
@@ -55,23 +55,23 @@
             watcher.start()
 
     def stop(self) -> None:
-        """Watch nothing."""
+        """Stop all watches."""
         self.watching = False
         for watcher in self.watchers:
             watcher.stop()
 
     def stored(self, kind: str, name: str) -> StoredObject | None:
-        """Return an object as it was last read."""
+        """Return an object as last read, or None."""
         watcher = next(w for w in self.watchers if w.kind == kind)
         return watcher.objects.get(name)
 
     @property
     def failing(self) -> bool:
-        """Return whether any watch gets no answer."""
+        """Return whether any watch fails."""
         return self.watching and any(w.failing for w in self.watchers)
 
     def contact_age_s(self) -> float:
-        """Return the time since the platform last answered."""
+        """Return the time since the platform last answered, infinite if never."""
         times = [w.last_contact for w in self.watchers if w.last_contact is not None]
         return self.timers.seconds() - max(times) if times else float("inf")
 
@@ -81,7 +81,7 @@
         try:
             self._write(kind, version, objects)
         except SteeringError as error:
-            # A malformed object must not displace the last good one.
+            # A malformed object must not replace the last valid one.
             get_logger().error("platform_object_bad", kind=kind, error=error.message)
 
     def _write(
@@ -127,8 +127,8 @@
             domains.setdefault(item.failure_domain, []).append(item)
         for name, found in domains.items():
             listing = body(tuple(sorted(found, key=lambda item: item.name)))
-            # A listing keeps its version while its domain does not change, so that
-            # only the domain that changed is sent to the peers.
+            # An unchanged listing keeps its version, so that only the listings of
+            # changed domains are sent to the peers.
             if listing != self.replica.get(kind, name):
                 self.replica.write(kind, name, version, listing)
 
--- a/ebonybend/control/ports.py
+++ b/ebonybend/control/ports.py
@@ -1,4 +1,4 @@
-"""Open the control process's listening ports."""
+"""Open the listening ports of the control process."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 
 def listen(reactor: Any, flag: str, address: str, site: HttpSite) -> Any:
-    """Return an open port; raise BAD_SETTING naming the flag if it can't listen."""
+    """Return a listening port; raise BAD_SETTING with the flag if that fails."""
     host, port = split_address(address)
     try:
         return reactor.listenTCP(port, site, backlog=1024, interface=host)
--- a/ebonybend/control/prober.py
+++ b/ebonybend/control/prober.py
@@ -1,4 +1,4 @@
-"""Probe the backend servers of the own failure domain."""
+"""Probe the backend servers of the local failure domain."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
@@ -16,7 +16,7 @@
 # A probe takes about 6 ms; a busy server or a long round trip needs more.
 PROBE_TIMEOUT_S = 1.0
 PROBES_AT_ONCE = 4
-# One lost probe is not taken for a lost server.
+# A single failed probe doesn't mark a server as down.
 FAILURES_UNTIL_DOWN = 2
 
 STATES = {
@@ -27,7 +27,7 @@
 
 
 class HealthSource(Protocol):
-    """Something that can be asked for one server's health."""
+    """A client that queries the health of one server."""
 
     async def ask(self, timeout_s: float) -> Health:
         """Return the server's health; raise ProbeFailed."""
@@ -39,7 +39,7 @@
 
 @define
 class _Probed:
-    """One server under probing."""
+    """A server that is probed, with its last result."""
 
     server: BackendServer
     source: HealthSource
@@ -51,14 +51,14 @@
 
 @frozen
 class _Failed:
-    """A probe of this round that failed."""
+    """A failed probe of the current round."""
 
     probed: _Probed
     refused: bool
 
 
 class Prober:
-    """Ask each server for its health, a few at once."""
+    """Query the health of each server in rounds, with limited concurrency."""
 
     def __init__(
         self,
@@ -70,7 +70,8 @@
         self.connect = connect
         self.on_change = on_change
         self.probed: dict[str, _Probed] = {}
-        # All probes of the last round failed at once: the fault is on this side.
+        # True if the probes of all servers that were up failed in the last round. The
+        # fault is then on this side, so the servers keep their states.
         self.frozen = False
 
     def set_servers(self, servers: Iterable[BackendServer]) -> None:
@@ -86,7 +87,7 @@
                 self.probed[name] = _Probed(server, self.connect(server.address))
 
     def view(self, server: str) -> ProbeView:
-        """Return what is known of a server."""
+        """Return the last probe result of a server."""
         known = self.probed.get(server)
         if known is None or known.answered_at is None:
             state = ServerState.COLD if known is None else known.state
@@ -95,7 +96,7 @@
         return ProbeView(known.state, known.in_flight, age_s)
 
     def newest_age_s(self) -> float:
-        """Return the time since any server answered."""
+        """Return the time since the last answer of any server, infinite if none."""
         times = [x.answered_at for x in self.probed.values() if x.answered_at]
         return self.clock.monotonic() - max(times) if times else float("inf")
 
@@ -127,7 +128,7 @@
         self._set_state(probed, STATES.get(health.state, ServerState.COLD))
 
     def _judge(self, failed: list[_Failed]) -> None:
-        """Count the failures, unless all servers that were up failed at once."""
+        """Count the failures, unless all servers that were up failed in this round."""
         up = [x for x in self.probed.values() if x.state is not ServerState.DOWN]
         lost = [x for x in failed if x.probed.state is not ServerState.DOWN]
         frozen = len(up) > 1 and len(lost) == len(up)
--- a/ebonybend/control/rules_admin.py
+++ b/ebonybend/control/rules_admin.py
@@ -1,4 +1,4 @@
-"""Show, check and change the rules on behalf of operators."""
+"""Handle the requests of operators that show, check and change the rules."""
 
 from urllib.parse import unquote
 from uuid import uuid4
@@ -37,7 +37,7 @@
 
 
 class RulesAdmin:
-    """The part of the administration API that concerns the rules."""
+    """Handle the rules requests of the administration API."""
 
     def __init__(self, replica: Replica, store: RulesStore, audit: AuditQueue):
         self.replica = replica
@@ -45,7 +45,7 @@
         self.audit = audit
 
     async def show(self, _request: IncomingRequest) -> OutgoingAnswer:
-        """Answer the newest rules known here; the ETag is the revision."""
+        """Return the newest known rules; the ETag is the revision."""
         record = self.replica.get(Kind.RULES)
         answer = RulesAnswer(0, "", "", "", "", 0.0)
         if record is not None:
@@ -60,11 +60,11 @@
         return json_answer(answer, headers={"ETag": f'"{answer.revision}"'})
 
     async def check(self, request: IncomingRequest) -> OutgoingAnswer:
-        """Answer what is wrong with a text."""
+        """Return the errors of a rules text."""
         return json_answer(CheckAnswer(self._errors(_text(request))))
 
     async def change(self, request: IncomingRequest) -> OutgoingAnswer:
-        """Accept a change, or answer why not."""
+        """Apply a change, or return why it was refused."""
         change = _proposed(request)
         known = self.replica.get(Kind.RULES)
         if known is not None and known.change_id == change.change_id:
@@ -82,7 +82,7 @@
         return json_answer(ApplyAnswer(revision, change.change_id))
 
     async def history(self, request: IncomingRequest) -> OutgoingAnswer:
-        """Answer recorded changes and events, newest first."""
+        """Return recorded changes and events, newest first."""
         limit = _limit(request.argument("limit"))
         read = await self.store.read()
         logged = await self.store.audit.newest(limit)
@@ -141,7 +141,7 @@
 def _merged(
     recent: tuple[AuditEntry, ...], logged: tuple[AuditEntry, ...], limit: int
 ) -> tuple[AuditEntry, ...]:
-    """Return entries newest first; an archived change is in both sources."""
+    """Return entries newest first; drop the second copy of an archived change."""
     unique = dict.fromkeys((*recent, *logged))
     ordered = sorted(unique, key=lambda entry: entry.at, reverse=True)
     return tuple(ordered[:limit])
--- a/ebonybend/control/rules_view.py
+++ b/ebonybend/control/rules_view.py
@@ -1,4 +1,4 @@
-"""The rules in force, as far as the control process itself acts on them."""
+"""Query the rules in force that the control process itself applies."""
 
 from collections.abc import Callable
 from time import time
@@ -11,7 +11,7 @@
 
 
 class RulesView:
-    """The newest rules known here; parsed once per revision."""
+    """The newest known rules, parsed once per revision."""
 
     def __init__(self, replica: Replica, wall: Callable[[], float] = time):
         self.replica = replica
@@ -35,7 +35,7 @@
         return self.record.text if self.record else ""
 
     def in_force(self) -> tuple[Rule, ...]:
-        """Return the rules whose end has not passed."""
+        """Return the rules that have not expired."""
         now = self.wall()
         return tuple(rule for rule in self.rules if not is_over(rule, now))
 
@@ -56,5 +56,5 @@
         )
 
     def _changed(self, _name: str) -> None:
-        # Lines that this version can't read are left out; the rest stays in force.
+        # Lines that this version can't parse are ignored; the rest stays in force.
         self.rules = parse_text(self.text).rules
--- a/ebonybend/control/service.py
+++ b/ebonybend/control/service.py
@@ -1,4 +1,4 @@
-"""Run one control process: ports, loops and signals."""
+"""Run a control process with its ports and signal handlers."""
 
 from random import Random
 from signal import SIGINT, SIGTERM
@@ -29,15 +29,15 @@
 
 EXIT_FAILED = 2
 EXIT_FORCED = 1
-# How often a stopping control looks whether its entry process is done.
+# Interval at which a stopping control checks whether its entry process has stopped.
 STOP_CHECK_S = 0.1
-# Time beyond the entry's own that a stopping control waits for it.
+# Time that a stopping control waits beyond the maximum time that the entry needs.
 STOP_MARGIN_S = 2.0
 MS_PER_S = 1000
 
 
 class ControlService:
-    """One control process."""
+    """One control process with its ports."""
 
     def __init__(self, reactor: Any, settings: Settings):
         self.reactor = reactor
@@ -67,7 +67,7 @@
         self.ports: list[Any] = []
 
     async def start(self) -> None:
-        """Open the ports, synchronise and start the loops."""
+        """Open the ports, synchronise and start the periodic tasks."""
         peers = ExchangeServer(
             self.core.exchange, self.core.shards.body, self.core.entry_informed
         )
@@ -90,7 +90,7 @@
         self.ports.append(listen(self.reactor, flag, address, site))
 
     async def client_map(self, request: ClientMapRequest) -> ClientMapShard:
-        """Answer one shard of the client map."""
+        """Return one shard of the client map."""
         return self.core.shards.answer(request)
 
     def signalled(self) -> None:
@@ -106,7 +106,7 @@
         Deferred.fromCoroutine(self._stop()).addErrback(self._stop_failed)
 
     async def _stop(self) -> None:
-        """Serve the entry until it has left, tell the peers, then end."""
+        """Serve the entry until it has stopped, write the instance record and stop."""
         settings = self.settings
         longest_ms = settings.lookup_lifetime_ms + settings.longest_deadline_ms
         deadline = self.reactor.seconds() + longest_ms / MS_PER_S + STOP_MARGIN_S
@@ -124,9 +124,10 @@
         self.reactor.stop()
 
     def _entry_leaves(self) -> bool:
-        """Return whether the entry process lives and is leaving.
+        """Return whether the entry process runs and is leaving.
 
-        An entry that isn't leaving outlives its control process and is not waited for.
+        An entry that isn't leaving outlives its control process, so the stop doesn't
+        wait for it.
         """
         entry = self.core.entry
         if entry.report is None or entry.age_s > 1.0:
@@ -139,7 +140,7 @@
         self.reactor.stop()
 
     def start_failed(self, failure: Any) -> None:
-        """Report why the process can't start, and end it."""
+        """Log why the process can't start, and stop it."""
         if failure.check(SteeringError):
             get_logger().error("start_failed", error=failure.value.message)
         else:
--- a/ebonybend/control/status.py
+++ b/ebonybend/control/status.py
@@ -1,4 +1,4 @@
-"""Report what is in force where."""
+"""Report the state of the system and the revisions in force."""
 
 from collections.abc import Iterable
 
@@ -23,7 +23,7 @@
 
 
 class StatusReporter:
-    """Answer whether the newest revision is in force everywhere."""
+    """Report the system's state, and whether the newest revision is in force."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         waiting = self.waiting_for(revision)
         return StatusAnswer(
             revision,
-            # Without a list nothing is known about everywhere.
+            # False before the platform's list is known: instances may be missing.
             bool(self._listed()) and not waiting,
             self._instances(),
             self._servers(),
@@ -77,7 +77,7 @@
         }
 
     def _reported(self, name: str, domain: str) -> int:
-        """Return the revision that a listed instance is known to have in force."""
+        """Return the last known revision in force on a listed instance, 0 if none."""
         if domain == self.members.failure_domain:
             load: LoadRecord | None = self.replica.get(Kind.LOAD, name)
             return load.rules_revision if load else 0
@@ -85,7 +85,7 @@
         if summary is None:
             return 0
         if summary.listing_version < self.replica.version(Kind.INSTANCES, domain):
-            # The summary may not cover an instance that was listed since.
+            # The summary is older than the list and may not cover the instance.
             return 0
         return summary.revision_of(name)
 
@@ -112,7 +112,7 @@
         )
 
     def _contact(self, name: str, domain: str) -> tuple[float, bool]:
-        """Return the time since an instance was heard of, and whether it answers."""
+        """Return the time since an instance was last seen, and if it is reachable."""
         if name == self.members.own:
             return 0.0, True
         if domain == self.members.failure_domain:
@@ -124,7 +124,7 @@
         return age_s, age_s < DOMAIN_SILENCE_S and not silent
 
     def _servers(self) -> tuple[ServerStatus, ...]:
-        """Return the own domain's servers; limits are those of the own entry."""
+        """Return the local domain's servers, with the limits of the local entry."""
         report = self.entry.report
         limits = {x.server: x.limit for x in report.servers} if report else {}
         return tuple(
--- a/ebonybend/control/table_builder.py
+++ b/ebonybend/control/table_builder.py
@@ -20,33 +20,33 @@
 from ebonybend.steering.table import DomainView, InstanceView, ServerView, Table
 from ebonybend.world import BackendServer, Instance, LifeState, ServerState
 
-# What must be known at once asks for a new table; the rest is renewed each second.
+# Maximum age of a table. A change that must apply at once invalidates it earlier.
 TABLE_PERIOD_S = 1.0
-# A domain without updates for this time serves no look-ups.
+# Instances of a domain without updates for this time are omitted from lookups.
 DOMAIN_SILENCE_S = 10.0
 KEY_EPOCH_S = 60.0
 
 
 @frozen
 class ProbeView:
-    """What probes last found on a backend server."""
+    """The last probe result of a backend server."""
 
     state: ServerState
     in_flight: int
-    # Time since the last answered probe; infinite without one.
+    # Time since the last answered probe; infinite if there was none.
     age_s: float
 
 
 class Probes(Protocol):
-    """The results of probing the own domain's backend servers."""
+    """Probe results of the local domain's backend servers."""
 
     def view(self, server: str) -> ProbeView:
-        """Return what is known of a server."""
+        """Return the last probe result of a server."""
         ...
 
 
 class TableBuilder:
-    """Combine records, probes and rules into tables with growing serials."""
+    """Build tables with increasing serials from records, probe results and rules."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self.rules = rules
         self.suspects = suspects
         self.probes = probes
-        # Version of the client map that the entry can fetch from here.
+        # Version of the client map that the entry can fetch from this control.
         self.client_map_version = 0
         self.serial = 0
         self.table: Table | None = None
@@ -75,11 +75,11 @@
             replica.listen(kind, self._changed)
 
     def hurry(self) -> None:
-        """Build a new table at the next request, however young the last is."""
+        """Build a new table at the next request, whatever the age of the last."""
         self.urgent = True
 
     def current(self) -> Table | None:
-        """Return a table that is at most TABLE_PERIOD_S old, None without a plan."""
+        """Return a table that isn't stale; None while the deployment is unknown."""
         old = self.clock.monotonic() - self.built_at >= TABLE_PERIOD_S
         if self.table is None or self.urgent or old:
             self._build()
@@ -110,7 +110,7 @@
         )
 
     def servers(self) -> tuple[ServerView, ...]:
-        """Return the own domain's backend servers."""
+        """Return the local domain's backend servers."""
         listing = self.replica.get(Kind.SERVERS, self.members.failure_domain)
         leaving = set(self.rules.drained("backend"))
         for load in self.members.live_loads().values():
@@ -133,7 +133,7 @@
         )
 
     def instances(self) -> tuple[InstanceView, ...]:
-        """Return all instances that have told their addresses, by name."""
+        """Return all instances with an instance record, by name."""
         listed = {
             item.name: item
             for listing in self.replica.bodies(Kind.INSTANCES).values()
@@ -194,7 +194,7 @@
         return age_s, load.rules_revision, load.key_epoch
 
     def _far_epoch(self, record: InstanceRecord) -> int:
-        # Ages leave out transfer times, so the result is never ahead of the owner's.
+        # Ages omit transfer times, so the result is never ahead of the owner's epoch.
         age_s = self.replica.age_s(Kind.INSTANCE, record.name)
         return record.key_epoch + int(age_s / KEY_EPOCH_S)
 
@@ -212,5 +212,5 @@
 
 
 def age_ms(age_s: float) -> float:
-    """Return an age in whole milliseconds; an unknown age is a day."""
+    """Return an age in whole milliseconds, limited to one day if it is unknown."""
     return float(round(min(age_s, 86_400.0) * 1000))
--- a/ebonybend/control/tests/cluster.py
+++ b/ebonybend/control/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Several controls on one simulated clock, with entries, peers and a platform."""
+"""Simulate controls with entries, peers and a platform on one simulated clock."""
 
 from random import Random
 
@@ -47,7 +47,7 @@
 
 @define
 class ServerDouble:
-    """A backend server's health; None gives no answer."""
+    """A health client of a backend server; with state None its probes fail."""
 
     state: str | None = "ready"
 
@@ -59,7 +59,7 @@
 
 @define
 class EntryDouble:
-    """An entry process that reports and takes tables."""
+    """An entry process that sends reports and receives tables."""
 
     node: "Node"
     incarnation: int = 1
@@ -67,7 +67,7 @@
     state: LifeState = LifeState.LIVE
     suspects: tuple[SuspectView, ...] = ()
     servers: tuple = ()
-    # Takes no tables, as a paused process.
+    # Neither reports nor receives tables, like a paused process.
     deaf: bool = False
 
     def report(self):
@@ -101,7 +101,7 @@
 
 @define
 class Node:
-    """One instance."""
+    """One instance with its control, entry and store client."""
 
     cluster: "Cluster"
     name: str
@@ -111,13 +111,13 @@
     core: ControlCore | None = None
     entry: EntryDouble | None = None
     revision: int = 0
-    # Time from which on the control was ready.
+    # Time at which the control had synchronised.
     ready_at: float | None = None
 
 
 @define
 class Transport:
-    """Carries exchanges between nodes that are not cut off from each other."""
+    """Deliver exchanges between nodes that are not partitioned from each other."""
 
     cluster: "Cluster"
     node: Node
@@ -148,7 +148,7 @@
 
 
 class Cluster:
-    """All nodes; time moves only in run."""
+    """All nodes; the simulated time advances only in run."""
 
     def __init__(self, seed=1):
         self.domains = dict(DOMAINS)
@@ -196,7 +196,7 @@
         return frozenset((first, second)) not in self.cuts
 
     def cut(self, names):
-        """Cut nodes off from all the others."""
+        """Partition nodes from all others."""
         for name in names:
             for other in self.nodes:
                 if other not in names:
@@ -262,7 +262,7 @@
             node.revision = revision
 
     def run_until(self, condition, seconds):
-        """Return the time that a condition took; fail after some seconds."""
+        """Return the time until a condition is true; fail after some seconds."""
         started = self.clock.seconds()
         while not condition():
             if self.clock.seconds() - started > seconds:
@@ -274,7 +274,7 @@
         return [node.entry.table for node in self.nodes.values()]
 
     def in_force(self, revision, names=None):
-        """Return whether the entries of nodes have a revision in force."""
+        """Return whether the entries of the nodes have a revision in force."""
         chosen = names or self.nodes
         entries = (self.nodes[name].entry for name in chosen)
         return all(
--- a/ebonybend/control/tests/test_cluster.py
+++ b/ebonybend/control/tests/test_cluster.py
@@ -18,7 +18,7 @@
 
 
 def apply(cluster, name, change_id, base=None):
-    """Start a change at a control; return the list that gets its result."""
+    """Start a change at a control; return a list that receives its result."""
     core = cluster.nodes[name].core
     base = core.rules.revision if base is None else base
     change = ProposedChange(change_id, base, TEXT.format(change_id), "Ana", "test")
@@ -48,7 +48,7 @@
 
 
 class SpreadTest(TestWithScenarios, ClusterCase):
-    """Guards against an accepted change that stays unknown somewhere."""
+    """Guards against an accepted change that doesn't reach every instance in time."""
 
     scenarios = [
         ("healthy", {"without_platform": (), "from_node": "k2-a"}),
@@ -82,7 +82,7 @@
 
 
 class CutOffTest(ClusterCase):
-    """Guards against a cut-off domain that misses a change or goes back."""
+    """Guards against a partitioned domain that misses a change or reverts to an old."""
 
     def test_domain_catches_up_after_a_cut(self):
         self.cluster.start_all()
@@ -114,7 +114,7 @@
 
 
 class StartTest(ClusterCase):
-    """Guards against a start with an older revision, or without any."""
+    """Guards against a control that starts with an older revision or without any."""
 
     def test_not_ready_without_platform_and_peers(self):
         self.nodes["k1-a"].store.down = True
@@ -174,7 +174,7 @@
 
 
 class WatchDutyTest(ClusterCase):
-    """Guards against a domain without a watch, and against one watch per control."""
+    """Guards against domains without a watch, and against a watch by every control."""
 
     def watching(self, domain="k1"):
         return [
@@ -206,7 +206,7 @@
 
 
 class StatusTest(ClusterCase):
-    """Guards against a report of "in force everywhere" that is not true."""
+    """Guards against a status that wrongly reports "in force everywhere"."""
 
     def test_waits_for_each_entry_process(self):
         self.cluster.start_all()
@@ -240,7 +240,7 @@
 
 
 class SuspectsTest(ClusterCase):
-    """Guards against a crashing request that is tried in the next domain."""
+    """Guards against a crashing request that is retried in the next domain."""
 
     def test_reaches_all_domains(self):
         self.cluster.start_all()
@@ -259,7 +259,7 @@
 
 
 class ClientMapTest(ClusterCase):
-    """Guards against an entry that gets an incomplete or mixed client map."""
+    """Guards against an incomplete client map, or one with shards of two versions."""
 
     def write(self, number, body):
         self.cluster.write("clientmap", f"{number:04d}", ClientMapObject(body))
@@ -299,7 +299,7 @@
 
 
 class LeavingTest(TestWithScenarios, ClusterCase):
-    """Guards against new work on a server that leaves, whoever noticed it first."""
+    """Guards against new requests to a draining server, however that is reported."""
 
     server = "rides-k1-1"
     scenarios = [
@@ -340,7 +340,7 @@
 
 
 class RandomFaultsTest(TestWithScenarios, ClusterCase):
-    """Guards against revisions that go down, or differ after all faults ended."""
+    """Guards against revisions that decrease, or differ after all faults have ended."""
 
     scenarios = [(f"seed {seed}", {"seed": seed}) for seed in range(6)]
 
--- a/ebonybend/control/tests/test_notices.py
+++ b/ebonybend/control/tests/test_notices.py
@@ -9,7 +9,7 @@
 
 
 class NoticesTest(TestWithScenarios, TestCase):
-    """Guards against an entry process that learns of a crash by its next report."""
+    """Guards against crash notices that reach the entry only at its next report."""
 
     scenarios = [
         ("nothing told", {"known": 0, "told_at": None, "ends_at": LONGEST_S}),
--- a/ebonybend/control/tests/test_prober.py
+++ b/ebonybend/control/tests/test_prober.py
@@ -9,7 +9,7 @@
 
 
 class Source:
-    """One server's health; counts the probes that run at once."""
+    """The health of one server; counts the probes that run concurrently."""
 
     running = 0
     most = 0
@@ -59,7 +59,7 @@
 
 
 class ProberTest(ProberCase):
-    """Guards against servers lost by one failed probe or by the observer's fault."""
+    """Guards against marking servers down after one failed probe or a local fault."""
 
     def test_all_failing_at_once_keeps_the_last_state(self):
         self.fail(self.sources)
@@ -102,7 +102,7 @@
 
 
 class HealthStateTest(TestWithScenarios, ProberCase):
-    """Guards against a health answer that is read as another state."""
+    """Guards against a wrong mapping of health answers to server states."""
 
     scenarios = [
         ("draining", {"text": "draining", "state": ServerState.DRAINING}),
@@ -117,7 +117,7 @@
 
 
 class RefusedTest(ProberCase):
-    """Guards against new work for a server whose process has ended."""
+    """Guards against new requests to a server whose process has ended."""
 
     def test_refused_connection_is_down_at_once(self):
         self.fail("1", refused=True)
--- a/ebonybend/control/where.py
+++ b/ebonybend/control/where.py
@@ -1,4 +1,4 @@
-"""Explain where a look-up or a request goes."""
+"""Explain how a lookup is answered and how a request is routed."""
 
 from ipaddress import AddressValueError, IPv4Address
 from random import Random
@@ -23,7 +23,7 @@
 
 
 class Explainer:
-    """Answer what a fresh entry of this instance would choose."""
+    """Explain what a newly started entry of this instance would choose."""
 
     def __init__(self, clock: Clock, rules: RulesView, shards: ClientMapShards):
         self.clock = clock
@@ -65,7 +65,7 @@
         return site, tuple(view.name for view in ranker.rank(address))
 
     def _current_map(self) -> ClientMap:
-        """Return the client map, decoded once for each version."""
+        """Return the client map, decoded once per version."""
         version = self.shards.version
         if version != self._client_map_version:
             bodies = [self.shards.body(name) for name in self.shards.names]
@@ -138,7 +138,7 @@
 
 
 def _servers(table: Table, service: str) -> tuple[ServerChoice, ...]:
-    """Return the own domain's servers by their reported load."""
+    """Return the local domain's servers, ready and least loaded first."""
     views = [view for view in table.servers if view.service == service]
     return tuple(_server(view) for view in sorted(views, key=_server_order))
 
--- a/ebonybend/peers/__init__.py
+++ b/ebonybend/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Records that control processes exchange and merge."""
+"""Replicate records between control processes."""
--- a/ebonybend/peers/exchange.py
+++ b/ebonybend/peers/exchange.py
@@ -22,20 +22,21 @@
 from ebonybend.peers.suspects import SuspectSet
 from ebonybend.tasks import Tasks, Timers
 
-# A second exchange within this time, by either side, says nothing new.
+# A second exchange of two local peers within this time, started by either of them,
+# brings nothing new.
 PAIR_SILENCE_S = 1.5
 FAR_PEERS_PER_ROUND = 2
 FAR_PEERS_FOR_RULES = 3
-# Two, since the one may be dead or cut off.
+# Two, since one of them may be down or partitioned.
 FAR_PEERS_PER_DOMAIN_FOR_SUSPECTS = 2
 FAR_PEERS_AT_START = 8
-# A peer that failed is not chosen at random for this time.
+# A peer whose exchange failed is chosen last for this time.
 FAILED_PEER_S = 5.0
 RULES = RecordName(Kind.RULES, MAIN)
 
 
 class PeerAddress(Protocol):
-    """Where another control process is reached."""
+    """Name, failure domain and address of another control process."""
 
     name: str
     failure_domain: str
@@ -43,12 +44,12 @@
 
 
 class PeerTransport(Protocol):
-    """Carry one request to one peer."""
+    """Send requests to peers."""
 
     async def send(
         self, address: str, request: ExchangeRequest
     ) -> ExchangeReply | None:
-        """Return the reply, or None when there was none."""
+        """Return the reply, or None if there was none."""
         ...
 
     async def fetch_shard(self, address: str, shard: ShardVersion) -> bytes | None:
@@ -57,7 +58,7 @@
 
 
 class PeerExchange:
-    """Send and answer exchanges; what is new goes into the replica."""
+    """Start and answer exchanges; merge newer records into the replica."""
 
     def __init__(
         self,
@@ -81,10 +82,10 @@
         self.timers = timers
         self.random = random
         self.tasks = Tasks(timers)
-        # Set once this control has synchronised.
+        # True once this control has synchronised.
         self.ready = False
         self.on_suspects: Callable[[], None] = lambda: None
-        # Time of the last exchange that a peer started, or that reached it.
+        # Time of the last exchange that a peer started or answered, by name.
         self.contacts: dict[str, float] = {}
         self.failures: dict[str, float] = {}
         self.busy: dict[str, bool] = {}
@@ -95,7 +96,7 @@
         replica.listen(Kind.RULES, self._rules_changed)
 
     def round(self) -> None:
-        """Exchange once with the own domain's peers and with some of the others."""
+        """Exchange once with the local domain's peers and with some remote ones."""
         near, far = self._split()
         for peer in near:
             if self.own < peer.name or self._silent(peer.name):
@@ -107,19 +108,19 @@
                 self.tasks.start(self.exchange(address))
 
     def push_load(self) -> None:
-        """Exchange at once with the own domain."""
+        """Exchange at once with the local domain."""
         near, _ = self._split()
         for peer in near:
             self.start(peer)
 
     def push_rules(self) -> None:
-        """Exchange at once with the own domain and some others."""
+        """Exchange at once with the local domain and some remote peers."""
         near, far = self._split()
         for peer in (*near, *self._choose(far, FAR_PEERS_FOR_RULES)):
             self.start(peer)
 
     def push_suspects(self, everywhere: bool) -> Deferred[list[None]]:
-        """Send the suspects to the own domain and, if asked, to all others."""
+        """Send the suspects to the local domain and, if asked, to all others."""
         near, far = self._split()
         chosen = list(near)
         if everywhere:
@@ -131,10 +132,10 @@
         return gatherResults(sent, consumeErrors=True)
 
     async def _notify(self, peer: PeerAddress) -> None:
-        """Send suspects at once, also while an exchange with the peer is running.
+        """Send the suspects at once, also while an exchange with the peer is running.
 
-        An exchange sends them only with its second request, and a crash notice that
-        waits for a running one is later than the entry's resend of the suspect.
+        An exchange sends them only in its second request. A crash report that waits for
+        a running exchange arrives after the entry has resent the suspect request.
         """
         near = peer.failure_domain == self.failure_domain
         notice = self.request(near, suspects=self.suspects.records())
@@ -143,7 +144,7 @@
             self._take(reply.records, reply.suspects, reply.failure_domain)
 
     async def synchronise(self) -> int:
-        """Ask the seeds and known peers for everything; return how many are ready."""
+        """Exchange with the seeds and known peers; return how many are synchronised."""
         near, far = self._split()
         addresses = {*self.seeds, *(peer.address for peer in near)}
         chosen = self._choose(far, FAR_PEERS_AT_START)
@@ -158,7 +159,7 @@
     def start(self, peer: PeerAddress) -> Deferred[None]:
         """Exchange with a peer in the background, once at a time for each peer."""
         if peer.name in self.busy:
-            # What the running exchange has sent may be out of date already.
+            # The data that the running exchange has sent may be out of date already.
             self.busy[peer.name] = True
             return succeed(None)
         self.busy[peer.name] = False
@@ -207,10 +208,11 @@
         suspects: tuple[SuspectRecord, ...] = (),
         wanted: tuple[RecordName, ...] = (),
     ) -> ExchangeRequest:
-        """Return a request that says what is held here.
+        """Return a request with the versions that this control has.
 
-        Loads are told only inside the domain. The other domains get the summary from
-        its writer, so that a confirmation doesn't wait until they ask.
+        Load records are sent only inside the domain. Other domains get the summary
+        from its writer, so that the confirmation of a change doesn't wait for their
+        next request.
         """
         own = self._own_load() if near else self._own_summary()
         records = (*records, *own)
@@ -228,7 +230,7 @@
         )
 
     def answer(self, request: ExchangeRequest) -> ExchangeReply:
-        """Take what a request brings and return what its sender lacks."""
+        """Merge the records of a request and return those that its sender lacks."""
         self.answered += 1
         self.contacts[request.sender] = self.timers.seconds()
         self._take(request.records, request.suspects, request.failure_domain)
@@ -288,7 +290,7 @@
             )
 
     def _rules_changed(self, _name: str) -> None:
-        # After the reply that brought the rules has been taken whole.
+        # Delayed until all records of the reply with the new rules are merged.
         self.timers.callLater(0, self.push_rules)
 
     def _silent(self, name: str) -> bool:
@@ -303,7 +305,7 @@
         return near, far
 
     def _choose(self, peers: list[PeerAddress], count: int) -> list[PeerAddress]:
-        """Return some peers at random, those that failed lately last."""
+        """Return some peers at random, those that failed recently last."""
         shuffled = self.random.sample(peers, len(peers))
         shuffled.sort(key=self._failed_lately)
         return shuffled[:count]
--- a/ebonybend/peers/http_transport.py
+++ b/ebonybend/peers/http_transport.py
@@ -1,4 +1,4 @@
-"""Carry exchanges over HTTP with MessagePack bodies."""
+"""Send and answer exchanges over HTTP with MessagePack bodies."""
 
 from collections.abc import Awaitable, Callable
 from urllib.parse import quote
@@ -13,7 +13,7 @@
 
 EXCHANGE_PATH = "/peer/exchange"
 SHARD_PATH = "/peer/clientmap"
-# Three round trips between the most distant regions, and some load.
+# Enough for three round trips between the most distant regions under some load.
 EXCHANGE_TIMEOUT_S = 1.0
 MAX_EXCHANGE_BYTES = 8 << 20
 # A shard is below 1 MB; another region sends it at a few MB/s.
@@ -23,7 +23,7 @@
 
 
 class HttpPeers:
-    """Send exchanges to the peer port of other controls."""
+    """Send exchanges to the peer ports of other controls."""
 
     def __init__(self, http: HttpClient):
         self.http = http
@@ -34,7 +34,7 @@
     async def send(
         self, address: str, request: ExchangeRequest
     ) -> ExchangeReply | None:
-        """Return the reply, or None when there was none."""
+        """Return the reply, or None if there was none."""
         body = pack(request)
         answer = await self._request(
             "POST", address, EXCHANGE_PATH, body, EXCHANGE_TIMEOUT_S
@@ -77,7 +77,7 @@
         informed: Callable[[], Awaitable[None]],
     ):
         self.exchange = exchange
-        # Returns once this instance acts on what the exchange has brought.
+        # Returns once the local entry process has the exchange's suspects.
         self.informed = informed
         # Returns a shard of the client map by name and version.
         self.shard = shard
--- a/ebonybend/peers/merge.py
+++ b/ebonybend/peers/merge.py
@@ -1,4 +1,4 @@
-"""The records that a control process holds, and how they merge."""
+"""Store the records of a control process and merge those of its peers."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -19,18 +19,18 @@
 )
 
 Listener = Callable[[str], None]
-# An incarnation is a count of seconds; the counter fits below it.
+# An incarnation is a time in seconds; the counter takes the lower bits of the version.
 COUNTER_BITS = 24
 
 
 def instance_version(incarnation_s: int, counter: int) -> int:
-    """Return the version of a record by (incarnation, counter)."""
+    """Return a record version that is ordered by (incarnation, counter)."""
     return (incarnation_s << COUNTER_BITS) + counter
 
 
 @define
 class Held:
-    """A record with the time at which it was written, by the own clock."""
+    """A record with its decoded body and the local times of writing and receipt."""
 
     record: Record
     body: Any
@@ -39,9 +39,9 @@
 
 
 class Replica:
-    """Records by kind and name; only a larger (version, writer) replaces one.
+    """Store records by kind and name; a larger (version, writer) replaces a smaller.
 
-    Neither the order nor the number of times in which records arrive matters.
+    The result doesn't depend on the order of the records or on duplicates.
     """
 
     def __init__(self, clock: Clock):
@@ -57,11 +57,11 @@
     def write(
         self, kind: Kind, name: str, version: int, body: Any, writer: str = ""
     ) -> bool:
-        """Offer a record that this process writes or read from the platform."""
+        """Merge a record that this process writes or has read from the platform."""
         return self.offer(Record(kind, name, version, pack(body), writer))
 
     def offer(self, record: Record) -> bool:
-        """Take a record if it is newer than the one held; return whether it was."""
+        """Store a record if it is newer than the stored one; return whether it is."""
         key = RecordName(record.kind, record.name)
         known = self.held.get(key)
         if known is not None and not _newer(record, known.record):
@@ -86,7 +86,7 @@
         return 0 if known is None else known.record.version
 
     def age_s(self, kind: Kind, name: str) -> float:
-        """Return the time since a record was written; infinite if there is none."""
+        """Return the time since a record was written, infinite if there is none."""
         known = self.held.get(RecordName(kind, name))
         if known is None:
             return float("inf")
@@ -99,7 +99,7 @@
         }
 
     def record(self, key: RecordName) -> Record | None:
-        """Return a record with its present age, or None."""
+        """Return a record with its current age, or None."""
         known = self.held.get(key)
         if known is None:
             return None
@@ -107,7 +107,7 @@
         return evolve(known.record, age_ms=age_ms)
 
     def records(self, keys: Iterable[RecordName]) -> tuple[Record, ...]:
-        """Return those of the named records that are held."""
+        """Return those of the named records that are stored."""
         found = (self.record(key) for key in keys)
         return tuple(record for record in found if record is not None)
 
@@ -128,7 +128,7 @@
         )
 
     def slow_digest(self) -> int:
-        """Return a number that is equal where the slow versions are."""
+        """Return a checksum of the slow versions."""
         if self._slow_digest is None:
             lines = sorted(
                 f"{line.kind.value} {line.name} {line.version}"
@@ -138,7 +138,7 @@
         return self._slow_digest
 
     def newer_than(self, kind: Kind, versions: dict[str, int]) -> list[RecordName]:
-        """Return the names of records that the owner of the versions lacks."""
+        """Return the names of stored records that are newer than the given versions."""
         return [
             key
             for key, held in self.held.items()
@@ -146,7 +146,7 @@
         ]
 
     def older_than(self, kind: Kind, versions: dict[str, int]) -> list[RecordName]:
-        """Return the names of records that the owner of the versions has newer."""
+        """Return the names of given versions that are newer than the stored records."""
         return [
             RecordName(kind, name)
             for name, version in versions.items()
@@ -156,7 +156,7 @@
     def slow_differences(
         self, lines: Iterable[VersionLine]
     ) -> tuple[list[RecordName], list[RecordName]]:
-        """Return which slow records are newer here, and which are newer there."""
+        """Return the slow records that are newer here, and those newer at the peer."""
         theirs = {RecordName(line.kind, line.name): line.version for line in lines}
         ours = {
             RecordName(line.kind, line.name): line.version
--- a/ebonybend/peers/records.py
+++ b/ebonybend/peers/records.py
@@ -1,4 +1,4 @@
-"""What control processes tell each other."""
+"""The records and messages that control processes exchange."""
 
 from enum import Enum
 
@@ -11,22 +11,22 @@
 class Kind(Enum):
     """Kinds of records."""
 
-    # Changes rarely; sent to all domains.
+    # These change rarely and are sent to all domains.
     INSTANCE = "instance"
     RULES = "rules"
     DEPLOYMENT = "deployment"
     INSTANCES = "instances"
     SERVERS = "servers"
     CLIENT_MAP = "client_map"
-    # Renewed each second; sent inside its failure domain.
+    # Written each second; sent inside its failure domain.
     LOAD = "load"
-    # Renewed each second; sent to all domains.
+    # Written each second; sent to all domains.
     DOMAIN = "domain"
 
 
 @frozen
 class RecordName:
-    """Which record."""
+    """The kind and name that identify a record."""
 
     kind: Kind
     name: str
@@ -34,9 +34,9 @@
 
 @frozen
 class Record:
-    """A body in MessagePack with its place in the order of versions.
+    """A record with its body in MessagePack.
 
-    The larger (version, writer) replaces the smaller.
+    A record with a larger (version, writer) replaces one with a smaller.
     """
 
     kind: Kind
@@ -44,39 +44,39 @@
     version: int
     body: bytes
     writer: str = ""
-    # Time since it was written, in milliseconds.
+    # Time since the record was written, in milliseconds.
     age_ms: float = 0.0
 
 
 @frozen
 class InstanceRecord:
-    """What rarely changes about an instance."""
+    """The properties of an instance that rarely change."""
 
     name: str
     failure_domain: str
-    # Of the entry process; 0 before its first report.
+    # Incarnation of the entry process; 0 before its first report.
     incarnation: int
     public_address: str
     peer_address: str
     control_address: str
     state: LifeState
     ready: bool
-    # At the time of writing; it grows by one each minute of the record's age.
+    # Key epoch at the time of writing; it grows by one per minute of the record's age.
     key_epoch: int = 0
 
 
 @frozen
 class LoadRecord:
-    """An instance's state of this second; proves that its control process lives."""
+    """The frequently changing state of an instance; also its control's heartbeat."""
 
     name: str
-    # Revision that its entry process reported as in force.
+    # Revision that the entry process reported as in force.
     rules_revision: int
     key_epoch: int
     services: tuple[ServiceLoad, ...] = ()
-    # Backend servers that told its entry process that they are leaving.
+    # Backend servers that reported to the entry process that they are draining.
     draining: tuple[str, ...] = ()
-    # It tries to watch the platform and gets no answer.
+    # True if the instance's control watches the platform and gets no answer.
     watch_failing: bool = False
     shifts: tuple[ShiftUsage, ...] = ()
 
@@ -91,18 +91,18 @@
 
 @frozen
 class DomainSummary:
-    """A failure domain as its lowest-named live control sees it."""
+    """State of a failure domain, written by its lowest-named live control."""
 
     name: str
     region: str
     services: tuple[ServiceLoad, ...]
-    # Revision that the writer knows, and that its domain's entry processes have in
-    # force except for those behind.
+    # Newest revision known to the writer. All entry processes of the domain except
+    # those in behind have it in force.
     rules_revision: int
     behind: tuple[InstanceRevision, ...]
-    # Instances whose control process is silent.
+    # Listed instances whose control process isn't live.
     silent: tuple[str, ...]
-    # Version of the list of instances that the summary covers.
+    # Version of the platform's list of instances that the summary is based on.
     listing_version: int
     shifts: tuple[ShiftUsage, ...] = ()
 
@@ -127,7 +127,7 @@
 
 @frozen
 class DeploymentRecord:
-    """The planned deployment."""
+    """The planned deployment, as the platform stores it."""
 
     deployment: Deployment
 
@@ -171,6 +171,7 @@
     Kind.LOAD: LoadRecord,
     Kind.DOMAIN: DomainSummary,
 }
+# Kinds that are written each second; the records of other kinds are called slow.
 FAST_KINDS = frozenset({Kind.LOAD, Kind.DOMAIN})
 # The only rules record and the only deployment record have this name.
 MAIN = "main"
@@ -185,15 +186,15 @@
     refused: bool
     # Time since the last crash, in milliseconds.
     age_ms: float
-    # Time since a success lifted the suspicion, or None.
+    # Time since a success cleared the suspicion, in milliseconds; None if none did.
     cleared_age_ms: float | None = None
-    # The servers that crashed; they tell two crashes from two reports of one.
+    # The servers that crashed. They distinguish two crashes from two reports of one.
     servers: tuple[str, ...] = ()
 
 
 @frozen
 class VersionLine:
-    """A record's place in the order of versions."""
+    """The version of a record."""
 
     kind: Kind
     name: str
@@ -202,15 +203,15 @@
 
 @frozen
 class ExchangeRequest:
-    """What the sender has, and records that the receiver lacks."""
+    """The versions that the sender has, and records that the receiver lacks."""
 
     sender: str
     failure_domain: str
     rules_revision: int
-    # Of the versions of all slow records except the rules.
+    # Checksum of the versions of all slow records except the rules.
     slow_digest: int
     suspects_digest: int
-    # Versions of the domain summaries and, inside a domain, of the loads.
+    # Versions of the domain summaries and, inside a domain, of the load records.
     domains: dict[str, int] = field(factory=dict)
     loads: dict[str, int] = field(factory=dict)
     records: tuple[Record, ...] = ()
@@ -220,15 +221,15 @@
 
 @frozen
 class ExchangeReply:
-    """Records that the sender of the request lacks, and what is wanted from it."""
+    """Records that the requesting control lacks, and names of those wanted from it."""
 
     sender: str
     failure_domain: str
     records: tuple[Record, ...] = ()
     suspects: tuple[SuspectRecord, ...] = ()
     wanted: tuple[RecordName, ...] = ()
-    # The replier's slow versions, when the digests differ.
+    # Versions of the replying control's slow records, if the digests differ.
     slow: tuple[VersionLine, ...] = ()
     suspects_digest: int = 0
-    # The replier itself has synchronised since its start.
+    # True if the replying control has synchronised since its start.
     ready: bool = False
--- a/ebonybend/peers/suspects.py
+++ b/ebonybend/peers/suspects.py
@@ -1,4 +1,4 @@
-"""Suspect requests as all instances together know them."""
+"""Merge the suspect requests that the instances report."""
 
 from collections.abc import Iterable
 from zlib import crc32
@@ -38,13 +38,13 @@
 
     @property
     def state(self) -> tuple[int, bool, bool, tuple[str, ...]]:
-        """Everything but the times, which differ a little between instances."""
+        """All values except the times, which differ slightly between instances."""
         servers = tuple(sorted(self.servers))
         return self.crashes, self.refused, self.active, servers
 
 
 class SuspectSet:
-    """Merge suspects: the larger crash count wins, and a refusal stays."""
+    """Merge suspects: the larger crash count wins, and a refused one stays refused."""
 
     def __init__(self, clock: Clock):
         self.clock = clock
@@ -52,7 +52,7 @@
         self.pardoned: frozenset[str] = frozenset()
 
     def merge(self, record: SuspectRecord) -> bool:
-        """Take what is new in a record; return whether anything was."""
+        """Merge a record; return whether that changed anything except times."""
         if record.fingerprint in self.pardoned:
             return False
         now = self.clock.monotonic()
@@ -69,7 +69,7 @@
         return before != known.state
 
     def clear(self, fingerprint: str) -> bool:
-        """Lift a suspicion after a success; a refused request stays refused."""
+        """Clear a suspicion after a success; a refused request stays refused."""
         known = self.suspects.get(fingerprint)
         if known is None or known.refused or not known.active:
             return False
@@ -77,20 +77,20 @@
         return True
 
     def pardon(self, fingerprints: Iterable[str]) -> None:
-        """Forget suspects that a rule pardons, and take none from peers."""
+        """Delete suspects that a rule pardons, and ignore later records of them."""
         self.pardoned = frozenset(fingerprints)
         for fingerprint in self.pardoned:
             self.suspects.pop(fingerprint, None)
 
     def expire(self) -> None:
-        """Forget suspects whose time is over."""
+        """Delete expired suspects."""
         now = self.clock.monotonic()
         for fingerprint, known in tuple(self.suspects.items()):
             if now - known.crashed_at > known.lifetime_s:
                 del self.suspects[fingerprint]
 
     def digest(self) -> int:
-        """Return a number that is equal where the suspects are; 0 for none."""
+        """Return a checksum of the suspects, 0 if there are none."""
         if not self.suspects:
             return 0
         lines = (
@@ -100,7 +100,7 @@
         return crc32("\n".join(lines).encode())
 
     def records(self) -> tuple[SuspectRecord, ...]:
-        """Return all suspects, with their ages."""
+        """Return the records of all suspects, with their ages."""
         now = self.clock.monotonic()
         return tuple(
             SuspectRecord(
@@ -115,7 +115,7 @@
         )
 
     def views(self) -> tuple[SuspectView, ...]:
-        """Return the suspects that still count, for the entry's table."""
+        """Return the active suspects, for the entry's table."""
         now = self.clock.monotonic()
         return tuple(
             SuspectView(
@@ -151,7 +151,7 @@
 
 def _merge(known: _Suspect, theirs: _Suspect) -> None:
     if not known.active and theirs.crashed_at > (known.cleared_at or 0.0):
-        # It was cleared before this crash, so counting starts again.
+        # The suspicion was cleared before this crash, so the count starts again.
         known.crashes = theirs.crashes
         known.servers = theirs.servers
         known.crashed_at = theirs.crashed_at
@@ -165,13 +165,13 @@
 
 def _merge_crashes(known: _Suspect, theirs: _Suspect) -> None:
     servers = known.servers | theirs.servers
-    # Crashes of two servers that two instances saw are two crashes.
+    # Crashes of two servers, reported by two instances, are two crashes.
     crashes = max(known.crashes, theirs.crashes, len(servers))
     if crashes > known.crashes:
         known.crashed_at = max(known.crashed_at, theirs.crashed_at)
     else:
-        # Each transfer adds its delay to the age it leaves out. Taking the later time
-        # would renew a suspect with each exchange, for ever.
+        # The age in a record omits the transfer time, so the crash seems later at each
+        # receiver. With the later time each exchange would renew a suspect forever.
         known.crashed_at = min(known.crashed_at, theirs.crashed_at)
     known.crashes = crashes
     known.servers = servers
--- a/ebonybend/peers/tests/test_merge.py
+++ b/ebonybend/peers/tests/test_merge.py
@@ -46,7 +46,7 @@
 
 
 class MergeTest(TestCase):
-    """Guards against replicas that differ after the same records."""
+    """Guards against replicas that differ after merging the same records."""
 
     @given(st.lists(RECORDS, max_size=30), st.randoms(use_true_random=False))
     def test_order_and_duplication_do_not_matter(self, records, random):
@@ -106,7 +106,7 @@
 
 
 class ReplicaTest(TestCase):
-    """Guards against wrong ages and against records that are not decodable."""
+    """Guards against wrong ages and malformed records that replace valid ones."""
 
     def test_ages_grow_and_are_passed_on(self):
         clock = ManualClock()
--- a/ebonybend/peers/tests/test_suspects.py
+++ b/ebonybend/peers/tests/test_suspects.py
@@ -18,7 +18,7 @@
 
 
 class SuspectSetTest(TestCase):
-    """Guards against suspects that are lost, kept for ever or wrongly cleared."""
+    """Guards against suspects that are lost, never expire or are wrongly cleared."""
 
     def setUp(self):
         super().setUp()
@@ -48,7 +48,7 @@
                 (other, self.suspects),
             ):
                 records = source.records()
-                # The transfer takes 0.1 s, which the sent age leaves out.
+                # The transfer takes 0.1 s, which the sent age omits.
                 self.clock.advance(0.1)
                 other.clock.advance(0.1)
                 for record in records:
