--- a/ebonybend/peers/records.py
+++ b/ebonybend/peers/records.py
@@ -8,7 +8,7 @@
 from ebonybend.world import BackendServer, Deployment, Instance, LifeState
 
 
-class Kind(Enum):
+class RecordKind(Enum):
     """Kinds of records."""
 
     # These change rarely and are sent to all domains.
@@ -28,7 +28,7 @@
 class RecordName:
     """The kind and name that identify a record."""
 
-    kind: Kind
+    kind: RecordKind
     name: str
 
 
@@ -39,7 +39,7 @@
     A record with a larger (version, writer) replaces one with a smaller.
     """
 
-    kind: Kind
+    kind: RecordKind
     name: str
     version: int
     body: bytes
@@ -162,17 +162,17 @@
 
 
 BODIES = {
-    Kind.INSTANCE: InstanceRecord,
-    Kind.RULES: RulesRecord,
-    Kind.DEPLOYMENT: DeploymentRecord,
-    Kind.INSTANCES: InstanceListing,
-    Kind.SERVERS: ServerListing,
-    Kind.CLIENT_MAP: ClientMapRecord,
-    Kind.LOAD: LoadRecord,
-    Kind.DOMAIN: DomainSummary,
+    RecordKind.INSTANCE: InstanceRecord,
+    RecordKind.RULES: RulesRecord,
+    RecordKind.DEPLOYMENT: DeploymentRecord,
+    RecordKind.INSTANCES: InstanceListing,
+    RecordKind.SERVERS: ServerListing,
+    RecordKind.CLIENT_MAP: ClientMapRecord,
+    RecordKind.LOAD: LoadRecord,
+    RecordKind.DOMAIN: DomainSummary,
 }
 # Kinds that are written each second; the records of other kinds are called slow.
-FAST_KINDS = frozenset({Kind.LOAD, Kind.DOMAIN})
+FAST_KINDS = frozenset({RecordKind.LOAD, RecordKind.DOMAIN})
 # The only rules record and the only deployment record have this name.
 MAIN = "main"
 
@@ -196,7 +196,7 @@
 class VersionLine:
     """The version of a record."""
 
-    kind: Kind
+    kind: RecordKind
     name: str
     version: int
 
