--- a/ebonybend/control/admin.py
+++ b/ebonybend/control/admin.py
@@ -41,7 +41,7 @@
         """Return how a lookup is answered or a request is routed, and why."""
         self._require_ready()
         answer = self.core.explainer.explain(
-            self.core.builder.current(),
+            self.core.builder.current_table(),
             request.argument("client"),
             request.argument("service"),
             request.argument("method") or "GET",
--- a/ebonybend/control/changes.py
+++ b/ebonybend/control/changes.py
@@ -6,10 +6,10 @@
 from ebonybend.world import LifeState, ServerState
 
 # A server that becomes ready after a cold start is not audited.
-NOTED_STATES = frozenset({ServerState.DRAINING, ServerState.DOWN})
+AUDITED_STATES = frozenset({ServerState.DRAINING, ServerState.DOWN})
 
 
-class ChangeNotes:
+class ChangeRecorder:
     """Compare the states each second; only the leader records the differences."""
 
     def __init__(self, members: Members, builder: TableBuilder, audit: AuditQueue):
@@ -20,29 +20,29 @@
         self.instances: dict[str, LifeState] = {}
         self.refused: set[str] = set()
 
-    def compare(self) -> None:
+    def record_changes(self) -> None:
         """Record the states that changed since the last call."""
-        leader = self.members.is_leader()
-        for event, name in (*self._servers(), *self._instances()):
-            if leader:
-                self.audit.note(event, name)
+        is_leader = self.members.is_leader()
+        for event, name in (*self._server_changes(), *self._instance_changes()):
+            if is_leader:
+                self.audit.add_automatic(event, name)
 
-    def refusals(self, fingerprints: set[str]) -> None:
+    def record_refusals(self, fingerprints: set[str]) -> None:
         """Record requests that the local entry process newly reports as refused."""
         for fingerprint in sorted(fingerprints - self.refused):
-            self.audit.note("suspect_refused", fingerprint)
+            self.audit.add_automatic("suspect_refused", fingerprint)
         self.refused = fingerprints
 
-    def _servers(self) -> list[tuple[str, str]]:
+    def _server_changes(self) -> list[tuple[str, str]]:
         states = {view.name: view.state for view in self.builder.servers()}
         before, self.servers = self.servers, states
         return [
             (f"server_{state.value}", name)
             for name, state in states.items()
-            if state in NOTED_STATES and before.get(name, state) is not state
+            if state in AUDITED_STATES and before.get(name, state) is not state
         ]
 
-    def _instances(self) -> list[tuple[str, str]]:
+    def _instance_changes(self) -> list[tuple[str, str]]:
         states = {
             view.name: view.state
             for view in self.builder.instances()
--- a/ebonybend/control/client_map.py
+++ b/ebonybend/control/client_map.py
@@ -20,7 +20,7 @@
 
 KIND = "clientmap"
 # Number of peers of other domains that are asked if no local peer has a shard.
-FAR_SOURCES = 2
+REMOTE_SOURCES = 2
 
 
 @frozen
@@ -40,7 +40,7 @@
         members: Members,
         store: ObjectStore,
         transport: PeerTransport,
-        watched: Callable[[str], StoredObject | None],
+        find_watched: Callable[[str], StoredObject | None],
         timers: Timers,
         random: Random,
     ):
@@ -49,16 +49,16 @@
         self.store = store
         self.transport = transport
         # Returns a shard's object as last read by the local watch, or None.
-        self.watched = watched
+        self.find_watched = find_watched
         self.random = random
         self.tasks = Tasks(timers)
         # Version and shard names of the newest complete set.
         self.version = 0
         self.names: tuple[str, ...] = ()
-        self.held: dict[ShardVersion, bytes] = {}
+        self.bodies: dict[ShardVersion, bytes] = {}
         self.on_complete: Callable[[], None] = lambda: None
         self._fetching = False
-        replica.listen(RecordKind.CLIENT_MAP, self._changed)
+        replica.add_listener(RecordKind.CLIENT_MAP, self._on_map_changed)
 
     def answer(self, request: ClientMapRequest) -> ClientMapShard:
         """Return a shard of the newest complete version."""
@@ -70,49 +70,49 @@
 
     def body(self, name: str, version: int | None = None) -> bytes | None:
         """Return the body of a shard, of any version if none is given, or None."""
-        for shard, body in self.held.items():
+        for shard, body in self.bodies.items():
             if shard.name == name and version in (None, shard.version):
                 return body
         return None
 
-    def _changed(self, _name: str) -> None:
+    def _on_map_changed(self, _name: str) -> None:
         if not self._fetching:
             self._fetching = True
-            self.tasks.start(self._complete())
+            self.tasks.start(self._fetch_until_complete())
 
-    async def _complete(self) -> None:
+    async def _fetch_until_complete(self) -> None:
         """Fetch missing shards until the set of the newest version is complete."""
         backoff = Backoff(self.random)
         try:
-            while not await self._try_complete():
+            while not await self._try_fetch():
                 await self.tasks.sleep(backoff.next())
         finally:
             self._fetching = False
 
-    async def _try_complete(self) -> bool:
+    async def _try_fetch(self) -> bool:
         record: ClientMapRecord = self.replica.get(RecordKind.CLIENT_MAP)
         version = self.replica.version(RecordKind.CLIENT_MAP)
-        found: dict[ShardVersion, bytes] = {}
+        fetched: dict[ShardVersion, bytes] = {}
         for shard in record.shards:
-            body = self.held.get(shard)
+            body = self.bodies.get(shard)
             if body is None:
-                body = await self._fetch(shard)
+                body = await self._fetch_shard(shard)
             if body is None:
                 return False
-            found[shard] = body
+            fetched[shard] = body
         if version != self.replica.version(RecordKind.CLIENT_MAP):
             # The map changed meanwhile; the next try reuses the fetched shards.
-            self.held.update(found)
+            self.bodies.update(fetched)
             return False
-        self.held = found
+        self.bodies = fetched
         self.names = tuple(shard.name for shard in record.shards)
         self.version = version
         get_logger().info("client_map", version=version, shards=len(self.names))
         self.on_complete()
         return True
 
-    async def _fetch(self, shard: ShardVersion) -> bytes | None:
-        watched = self.watched(shard.name)
+    async def _fetch_shard(self, shard: ShardVersion) -> bytes | None:
+        watched = self.find_watched(shard.name)
         if watched is not None and watched.version == shard.version:
             return _decode(watched)
         for peer in self._sources():
@@ -131,10 +131,10 @@
         """
         domain = self.members.failure_domain
         peers = self.members.peers()
-        near = [peer for peer in peers if peer.failure_domain == domain]
-        far = [peer for peer in peers if peer.failure_domain != domain]
-        chosen = self.random.sample(far, min(FAR_SOURCES, len(far)))
-        return [peer for peer in near if self.members.is_live(peer.name)] + chosen
+        local = [peer for peer in peers if peer.failure_domain == domain]
+        remote = [peer for peer in peers if peer.failure_domain != domain]
+        chosen = self.random.sample(remote, min(REMOTE_SOURCES, len(remote)))
+        return [peer for peer in local if self.members.is_live(peer.name)] + chosen
 
 
 def _decode(stored: StoredObject) -> bytes | None:
--- a/ebonybend/control/entry_server.py
+++ b/ebonybend/control/entry_server.py
@@ -30,9 +30,9 @@
     ("grpc.so_reuseport", 0),
 )
 
-Exchange = Callable[[EntryReport], Awaitable[TableReply]]
-Notice = Callable[[NoticeRequest], Awaitable[NoticeReply]]
-ClientMap = Callable[[ClientMapRequest], Awaitable[ClientMapShard]]
+ExchangeHandler = Callable[[EntryReport], Awaitable[TableReply]]
+NoticeHandler = Callable[[NoticeRequest], Awaitable[NoticeReply]]
+ClientMapHandler = Callable[[ClientMapRequest], Awaitable[ClientMapShard]]
 
 
 class EntryServer:
@@ -41,9 +41,9 @@
     def __init__(
         self,
         address: str,
-        exchange: Exchange,
-        notice: Notice,
-        client_map: ClientMap,
+        exchange: ExchangeHandler,
+        notice: NoticeHandler,
+        client_map: ClientMapHandler,
     ):
         self.address = address
         self.exchange = exchange
@@ -55,9 +55,9 @@
         """Listen; raise BAD_SETTING if the address is in use."""
         self.server = server(options=OPTIONS)
         handlers = {
-            "Exchange": _handler(self.exchange, EntryReport),
-            "Notice": _handler(self.notice, NoticeRequest),
-            "ClientMap": _handler(self.client_map, ClientMapRequest),
+            "Exchange": _grpc_handler(self.exchange, EntryReport),
+            "Notice": _grpc_handler(self.notice, NoticeRequest),
+            "ClientMap": _grpc_handler(self.client_map, ClientMapRequest),
         }
         self.server.add_generic_rpc_handlers(
             (method_handlers_generic_handler(SERVICE, handlers),)
@@ -74,7 +74,7 @@
             await Deferred.fromFuture(ensure_future(self.server.stop(0.1)))
 
 
-def _handler(function: Callable[[Any], Awaitable[Any]], kind: type) -> Any:
+def _grpc_handler(function: Callable[[Any], Awaitable[Any]], kind: type) -> Any:
     async def call(request: Any, context: Any) -> Any:
         result = Deferred.fromCoroutine(function(request))
         return await result.asFuture(get_running_loop())
--- a/ebonybend/control/health_client.py
+++ b/ebonybend/control/health_client.py
@@ -34,7 +34,7 @@
         self.http = http
         self.address = address
 
-    async def ask(self, timeout_s: float) -> Health:
+    async def get_health(self, timeout_s: float) -> Health:
         """Return the server's health; raise ProbeFailed."""
         try:
             answer = await self.http.request(
--- a/ebonybend/control/members.py
+++ b/ebonybend/control/members.py
@@ -11,7 +11,7 @@
 )
 
 # A control is live if its load record was renewed within this time.
-SILENCE_S = 3.0
+LIVENESS_TIMEOUT_S = 3.0
 
 
 @frozen
@@ -26,17 +26,20 @@
 class Members:
     """Instances of all failure domains, from records and the platform's lists."""
 
-    def __init__(self, own: str, failure_domain: str, replica: Replica):
-        self.own = own
+    def __init__(self, own_name: str, failure_domain: str, replica: Replica):
+        self.own_name = own_name
         self.failure_domain = failure_domain
         self.replica = replica
         self._peers: tuple[Peer, ...] | None = None
         for kind in (RecordKind.INSTANCE, RecordKind.INSTANCES):
-            replica.listen(kind, self._forget)
+            replica.add_listener(kind, self._invalidate_peers)
 
     def is_live(self, name: str) -> bool:
         """Return whether a control of the local domain is live."""
-        return name == self.own or self.replica.age_s(RecordKind.LOAD, name) < SILENCE_S
+        return (
+            name == self.own_name
+            or self.replica.age_s(RecordKind.LOAD, name) < LIVENESS_TIMEOUT_S
+        )
 
     def live_loads(self) -> dict[str, LoadRecord]:
         """Return the load records of the live controls of the local domain."""
@@ -45,7 +48,7 @@
 
     def is_leader(self) -> bool:
         """Return whether this is the lowest-named live control of its domain."""
-        return self.own <= min(self.live_loads(), default=self.own)
+        return self.own_name <= min(self.live_loads(), default=self.own_name)
 
     def should_watch(self) -> bool:
         """Return whether this control watches the platform for its domain.
@@ -53,7 +56,7 @@
         A control watches if the watch of each live control with a lower name fails.
         """
         loads = self.live_loads().items()
-        return all(load.watch_failing for name, load in loads if name < self.own)
+        return all(load.watch_failing for name, load in loads if name < self.own_name)
 
     def peers(self) -> tuple[Peer, ...]:
         """Return all known controls except this one, by name."""
@@ -61,14 +64,14 @@
             self._peers = self._find_peers()
         return self._peers
 
-    def domain_names(self) -> tuple[str, ...]:
+    def local_instance_names(self) -> tuple[str, ...]:
         """Return the names of the local domain's listed and live instances."""
         listing = self.replica.get(RecordKind.INSTANCES, self.failure_domain)
-        names = {self.own, *self.live_loads()}
+        names = {self.own_name, *self.live_loads()}
         names.update(item.name for item in (listing or InstanceListing()).items)
         return tuple(sorted(names))
 
-    def _forget(self, _name: str) -> None:
+    def _invalidate_peers(self, _name: str) -> None:
         self._peers = None
 
     def _find_peers(self) -> tuple[Peer, ...]:
@@ -82,5 +85,5 @@
         records: dict[str, InstanceRecord] = self.replica.bodies(RecordKind.INSTANCE)
         for name, record in records.items():
             found[name] = Peer(name, record.failure_domain, record.control_address)
-        found.pop(self.own, None)
+        found.pop(self.own_name, None)
         return tuple(found[name] for name in sorted(found))
--- a/ebonybend/control/metrics.py
+++ b/ebonybend/control/metrics.py
@@ -55,7 +55,7 @@
             "probes_frozen", "1 while all probes fail at once.", core.prober.frozen
         )
         yield _gauge(
-            "audit_waiting", "Events not written yet.", len(core.audit.waiting)
+            "audit_waiting", "Events not written yet.", len(core.audit.pending)
         )
 
     def _counters(self) -> Iterator[CounterMetricFamily]:
--- a/ebonybend/control/notices.py
+++ b/ebonybend/control/notices.py
@@ -10,50 +10,50 @@
 
     def __init__(self, timers: Timers):
         self.timers = timers
-        self.told = 0
+        self.posted_count = 0
         # Number of notices whose content was delivered to the entry process.
-        self.taken = 0
-        self.waiting: list[Deferred[None]] = []
+        self.delivered_count = 0
+        self.waiters: list[Deferred[None]] = []
 
-    def tell(self) -> None:
+    def post(self) -> None:
         """Ask the entry process for a report."""
-        self.told += 1
-        self._wake()
+        self.posted_count += 1
+        self._wake_waiters()
 
-    def take(self) -> None:
+    def mark_delivered(self) -> None:
         """Record that the content of all notices so far is delivered."""
-        if self.taken < self.told:
-            self.taken = self.told
-            self._wake()
+        if self.delivered_count < self.posted_count:
+            self.delivered_count = self.posted_count
+            self._wake_waiters()
 
-    async def wait_told(self, known: int, longest_s: float) -> int:
+    async def wait_for_notice(self, known: int, max_wait_s: float) -> int:
         """Return the number of notices once it isn't the known one, or at a timeout."""
-        end = self.timers.seconds() + longest_s
-        while self.told == known and self.timers.seconds() < end:
-            await self._changed(end)
-        return self.told
+        deadline = self.timers.seconds() + max_wait_s
+        while self.posted_count == known and self.timers.seconds() < deadline:
+            await self._wait_for_change(deadline)
+        return self.posted_count
 
-    async def wait_taken(self, longest_s: float) -> None:
+    async def wait_until_delivered(self, max_wait_s: float) -> None:
         """Wait until all notices so far are delivered, or for the maximum wait."""
-        told = self.told
-        end = self.timers.seconds() + longest_s
-        while self.taken < told and self.timers.seconds() < end:
-            await self._changed(end)
+        posted_count = self.posted_count
+        deadline = self.timers.seconds() + max_wait_s
+        while self.delivered_count < posted_count and self.timers.seconds() < deadline:
+            await self._wait_for_change(deadline)
 
-    async def _changed(self, end: float) -> None:
+    async def _wait_for_change(self, deadline: float) -> None:
         changed: Deferred[None] = Deferred()
-        self.waiting.append(changed)
-        left = max(end - self.timers.seconds(), 0.0)
-        timer = self.timers.callLater(left, changed.cancel)
+        self.waiters.append(changed)
+        remaining_s = max(deadline - self.timers.seconds(), 0.0)
+        timer = self.timers.callLater(remaining_s, changed.cancel)
         try:
             await changed
         except CancelledError:
-            self.waiting.remove(changed)
+            self.waiters.remove(changed)
         finally:
             if timer.active():
                 timer.cancel()
 
-    def _wake(self) -> None:
-        waiting, self.waiting = self.waiting, []
-        for changed in waiting:
+    def _wake_waiters(self) -> None:
+        waiters, self.waiters = self.waiters, []
+        for changed in waiters:
             changed.callback(None)
--- a/ebonybend/control/own_records.py
+++ b/ebonybend/control/own_records.py
@@ -5,8 +5,8 @@
 
 from attrs import evolve
 
-from ebonybend.control.entry_link import EntryLink
-from ebonybend.control.members import SILENCE_S, Members
+from ebonybend.control.entry_link import EntryMonitor
+from ebonybend.control.members import LIVENESS_TIMEOUT_S, Members
 from ebonybend.control.platform_feed import PlatformFeed
 from ebonybend.control.rules_view import RulesView
 from ebonybend.peers.merge import Replica, instance_version
@@ -32,7 +32,7 @@
         incarnation_s: int,
         replica: Replica,
         members: Members,
-        entry: EntryLink,
+        entry: EntryMonitor,
         rules: RulesView,
         feed: PlatformFeed,
     ):
@@ -42,30 +42,32 @@
         self.entry = entry
         self.rules = rules
         self.feed = feed
-        self.first_version = instance_version(incarnation_s, 0)
+        self.base_version = instance_version(incarnation_s, 0)
 
     def write(self) -> None:
         """Write all records that this control owns."""
         self.write_instance()
-        self._write(RecordKind.LOAD, self._load())
+        self._write_record(RecordKind.LOAD, self._load_record())
         if self.members.is_leader():
             self._write_domain()
 
     def write_instance(self) -> None:
         """Write the instance record if anything except its key epoch changed."""
-        record = self._instance()
+        record = self._instance_record()
         known = self.replica.get(RecordKind.INSTANCE, self.settings.instance)
         same = known and evolve(known, key_epoch=record.key_epoch) == record
         if not same:
-            self._write(RecordKind.INSTANCE, record)
+            self._write_record(RecordKind.INSTANCE, record)
 
-    def _write(self, kind: RecordKind, body: InstanceRecord | LoadRecord) -> None:
+    def _write_record(
+        self, kind: RecordKind, body: InstanceRecord | LoadRecord
+    ) -> None:
         name = self.settings.instance
         # Peers may have a record of an earlier incarnation whose clock was ahead.
-        version = max(self.first_version, self.replica.version(kind, name)) + 1
+        version = max(self.base_version, self.replica.version(kind, name)) + 1
         self.replica.write(kind, name, version, body, name)
 
-    def _instance(self) -> InstanceRecord:
+    def _instance_record(self) -> InstanceRecord:
         report = self.entry.report
         return InstanceRecord(
             self.settings.instance,
@@ -74,12 +76,12 @@
             report.public_address if report else "",
             report.peer_address if report else "",
             self.settings.exchange_advertise,
-            self._state(),
+            self._life_state(),
             self.entry.ready,
             report.key_epoch if report else 0,
         )
 
-    def _state(self) -> LifeState:
+    def _life_state(self) -> LifeState:
         report = self.entry.report
         if report is not None and report.state is LifeState.LEAVING:
             return LifeState.LEAVING
@@ -87,18 +89,18 @@
             return LifeState.LEAVING
         return LifeState.LIVE
 
-    def _load(self) -> LoadRecord:
+    def _load_record(self) -> LoadRecord:
         report = self.entry.report
         # Without recent reports the load of the entry process is unknown.
-        live = report is not None and self.entry.age_s < SILENCE_S
+        is_fresh = report is not None and self.entry.age_s < LIVENESS_TIMEOUT_S
         return LoadRecord(
             self.settings.instance,
             self.entry.rules_revision,
-            report.key_epoch if live else 0,
-            report.services if live else (),
-            tuple(x.server for x in report.servers if x.draining) if live else (),
+            report.key_epoch if is_fresh else 0,
+            report.services if is_fresh else (),
+            tuple(x.server for x in report.servers if x.draining) if is_fresh else (),
             self.feed.failing,
-            report.shifts if live else (),
+            report.shifts if is_fresh else (),
         )
 
     def _write_domain(self) -> None:
@@ -113,11 +115,13 @@
         """Return the summary of the local domain."""
         domain = self.settings.failure_domain
         deployment = self.replica.get(RecordKind.DEPLOYMENT)
-        planned = deployment and deployment.deployment.domain(domain)
+        domain_plan = deployment and deployment.deployment.domain(domain)
         loads = self.members.live_loads()
-        names = self.members.domain_names()
+        names = self.members.local_instance_names()
         revisions = {
-            name: loads[name].rules_revision if name in loads else self._last(name)
+            name: loads[name].rules_revision
+            if name in loads
+            else self._last_revision(name)
             for name in names
         }
         newest = self.rules.revision
@@ -125,7 +129,7 @@
         listed = {item.name for item in listing.items}
         return DomainSummary(
             domain,
-            planned.region if planned else "",
+            domain_plan.region if domain_plan else "",
             sum_loads(load.services for load in loads.values()),
             newest,
             tuple(
@@ -138,7 +142,7 @@
             sum_shifts(load.shifts for load in loads.values()),
         )
 
-    def _last(self, name: str) -> int:
+    def _last_revision(self, name: str) -> int:
         """Return the last reported revision of an instance that isn't live."""
         load = self.replica.get(RecordKind.LOAD, name)
         return load.rules_revision if load else 0
@@ -150,7 +154,7 @@
     for report in reports:
         for load in report:
             by_service[load.service].append(load)
-    return tuple(_sum(name, by_service[name]) for name in sorted(by_service))
+    return tuple(_sum_service(name, by_service[name]) for name in sorted(by_service))
 
 
 def sum_shifts(reports: Iterable[tuple[ShiftUsage, ...]]) -> tuple[ShiftUsage, ...]:
@@ -165,7 +169,7 @@
     return tuple(totals[text] for text in sorted(totals))
 
 
-def _sum(service: str, loads: list[ServiceLoad]) -> ServiceLoad:
+def _sum_service(service: str, loads: list[ServiceLoad]) -> ServiceLoad:
     slots = sum(load.slots for load in loads)
     in_flight = sum(load.in_flight for load in loads)
     weighted = sum(load.latency_ms * load.slots for load in loads)
--- a/ebonybend/control/platform_feed.py
+++ b/ebonybend/control/platform_feed.py
@@ -37,7 +37,8 @@
         self.replica = replica
         self.timers = timers
         self.watchers = [
-            Watcher(store, kind, timers, random, self._changed) for kind in KINDS
+            Watcher(store, kind, timers, random, self._on_objects_changed)
+            for kind in KINDS
         ]
         self.watching = False
 
@@ -60,7 +61,7 @@
         for watcher in self.watchers:
             watcher.stop()
 
-    def stored(self, kind: str, name: str) -> StoredObject | None:
+    def find_object(self, kind: str, name: str) -> StoredObject | None:
         """Return an object as last read, or None."""
         watcher = next(w for w in self.watchers if w.kind == kind)
         return watcher.objects.get(name)
@@ -75,16 +76,16 @@
         times = [w.last_contact for w in self.watchers if w.last_contact is not None]
         return self.timers.seconds() - max(times) if times else float("inf")
 
-    def _changed(
+    def _on_objects_changed(
         self, kind: str, version: int, objects: Mapping[str, StoredObject]
     ) -> None:
         try:
-            self._write(kind, version, objects)
+            self._write_records(kind, version, objects)
         except SteeringError as error:
             # A malformed object must not replace the last valid one.
             get_logger().error("platform_object_bad", kind=kind, error=error.message)
 
-    def _write(
+    def _write_records(
         self, kind: str, version: int, objects: Mapping[str, StoredObject]
     ) -> None:
         if kind == "deployment":
@@ -92,10 +93,10 @@
         elif kind == "rules":
             self._write_rules(objects.get(MAIN))
         elif kind == "instance":
-            items = _decoded(objects, Instance)
+            items = _decode_all(objects, Instance)
             self._write_listings(RecordKind.INSTANCES, InstanceListing, version, items)
         elif kind == "server":
-            items = _decoded(objects, BackendServer)
+            items = _decode_all(objects, BackendServer)
             self._write_listings(RecordKind.SERVERS, ServerListing, version, items)
         else:
             self._write_client_map(version, objects)
@@ -103,13 +104,13 @@
     def _write_deployment(self, stored: StoredObject | None) -> None:
         if stored is None:
             return
-        record = DeploymentRecord(_value(stored.value, Deployment))
+        record = DeploymentRecord(_decode(stored.value, Deployment))
         self.replica.write(RecordKind.DEPLOYMENT, MAIN, stored.version, record)
 
     def _write_rules(self, stored: StoredObject | None) -> None:
         if stored is None:
             return
-        rules = _value(stored.value, RulesObject)
+        rules = _decode(stored.value, RulesObject)
         record = rules_record(rules)
         self.replica.write(RecordKind.RULES, MAIN, rules.revision, record)
 
@@ -120,13 +121,13 @@
         version: int,
         items: Iterable[Instance | BackendServer],
     ) -> None:
-        domains: dict[str, list[Instance | BackendServer]] = {
+        items_by_domain: dict[str, list[Instance | BackendServer]] = {
             name: [] for name in self.replica.bodies(kind)
         }
         for item in items:
-            domains.setdefault(item.failure_domain, []).append(item)
-        for name, found in domains.items():
-            listing = body(tuple(sorted(found, key=lambda item: item.name)))
+            items_by_domain.setdefault(item.failure_domain, []).append(item)
+        for name, domain_items in items_by_domain.items():
+            listing = body(tuple(sorted(domain_items, key=lambda item: item.name)))
             # An unchanged listing keeps its version, so that only the listings of
             # changed domains are sent to the peers.
             if listing != self.replica.get(kind, name):
@@ -155,15 +156,15 @@
     )
 
 
-def _value(value: Raw, kind: type) -> object:
+def _decode(value: Raw, kind: type) -> object:
     return from_json(bytes(value), kind)
 
 
-def _decoded(objects: Mapping[str, StoredObject], kind: type) -> list:
+def _decode_all(objects: Mapping[str, StoredObject], kind: type) -> list:
     found = []
     for stored in objects.values():
         try:
-            found.append(_value(stored.value, kind))
+            found.append(_decode(stored.value, kind))
         except SteeringError as error:
             get_logger().error(
                 "platform_object_bad", name=stored.name, error=error.message
--- a/ebonybend/control/prober.py
+++ b/ebonybend/control/prober.py
@@ -15,7 +15,7 @@
 PROBE_PERIOD_S = 0.5
 # A probe takes about 6 ms; a busy server or a long round trip needs more.
 PROBE_TIMEOUT_S = 1.0
-PROBES_AT_ONCE = 4
+MAX_CONCURRENT_PROBES = 4
 # A single failed probe doesn't mark a server as down.
 FAILURES_UNTIL_DOWN = 2
 
@@ -29,7 +29,7 @@
 class HealthSource(Protocol):
     """A client that queries the health of one server."""
 
-    async def ask(self, timeout_s: float) -> Health:
+    async def get_health(self, timeout_s: float) -> Health:
         """Return the server's health; raise ProbeFailed."""
         ...
 
@@ -38,7 +38,7 @@
 
 
 @define
-class _Probed:
+class _ProbedServer:
     """A server that is probed, with its last result."""
 
     server: BackendServer
@@ -50,10 +50,10 @@
 
 
 @frozen
-class _Failed:
+class _FailedProbe:
     """A failed probe of the current round."""
 
-    probed: _Probed
+    probed: _ProbedServer
     refused: bool
 
 
@@ -69,7 +69,7 @@
         self.clock = clock
         self.connect = connect
         self.on_change = on_change
-        self.probed: dict[str, _Probed] = {}
+        self.probed: dict[str, _ProbedServer] = {}
         # True if the probes of all servers that were up failed in the last round. The
         # fault is then on this side, so the servers keep their states.
         self.frozen = False
@@ -78,62 +78,64 @@
         """Probe these servers from the next round on."""
         wanted = {server.name: server for server in servers}
         for name in tuple(self.probed):
-            known = self.probed[name]
+            probed = self.probed[name]
             server = wanted.get(name)
-            if server is None or server.address != known.server.address:
+            if server is None or server.address != probed.server.address:
                 del self.probed[name]
         for name, server in wanted.items():
             if name not in self.probed:
-                self.probed[name] = _Probed(server, self.connect(server.address))
+                self.probed[name] = _ProbedServer(server, self.connect(server.address))
 
     def view(self, server: str) -> ProbeView:
         """Return the last probe result of a server."""
-        known = self.probed.get(server)
-        if known is None or known.answered_at is None:
-            state = ServerState.COLD if known is None else known.state
+        probed = self.probed.get(server)
+        if probed is None or probed.answered_at is None:
+            state = ServerState.COLD if probed is None else probed.state
             return ProbeView(state, 0, float("inf"))
-        age_s = self.clock.monotonic() - known.answered_at
-        return ProbeView(known.state, known.in_flight, age_s)
+        age_s = self.clock.monotonic() - probed.answered_at
+        return ProbeView(probed.state, probed.in_flight, age_s)
 
-    def newest_age_s(self) -> float:
+    def last_answer_age_s(self) -> float:
         """Return the time since the last answer of any server, infinite if none."""
         times = [x.answered_at for x in self.probed.values() if x.answered_at]
         return self.clock.monotonic() - max(times) if times else float("inf")
 
-    async def round(self) -> None:
+    async def run_round(self) -> None:
         """Probe each server once."""
-        waiting = list(self.probed.values())
-        failed: list[_Failed] = []
+        pending = list(self.probed.values())
+        failed: list[_FailedProbe] = []
         workers: list[Deferred[Any]] = [
-            Deferred.fromCoroutine(self._work(waiting, failed))
-            for _ in range(min(PROBES_AT_ONCE, len(waiting)))
+            Deferred.fromCoroutine(self._probe_pending(pending, failed))
+            for _ in range(min(MAX_CONCURRENT_PROBES, len(pending)))
         ]
         await gatherResults(workers, consumeErrors=True)
-        self._judge(failed)
+        self._apply_failures(failed)
 
-    async def _work(self, waiting: list[_Probed], failed: list[_Failed]) -> None:
-        while waiting:
-            probed = waiting.pop()
+    async def _probe_pending(
+        self, pending: list[_ProbedServer], failed: list[_FailedProbe]
+    ) -> None:
+        while pending:
+            probed = pending.pop()
             try:
-                health = await probed.source.ask(PROBE_TIMEOUT_S)
+                health = await probed.source.get_health(PROBE_TIMEOUT_S)
             except ProbeFailed as error:
-                failed.append(_Failed(probed, error.refused))
+                failed.append(_FailedProbe(probed, error.refused))
             else:
-                self._answered(probed, health)
+                self._record_answer(probed, health)
 
-    def _answered(self, probed: _Probed, health: Health) -> None:
+    def _record_answer(self, probed: _ProbedServer, health: Health) -> None:
         probed.answered_at = self.clock.monotonic()
         probed.failures = 0
         probed.in_flight = health.in_flight
         self._set_state(probed, STATES.get(health.state, ServerState.COLD))
 
-    def _judge(self, failed: list[_Failed]) -> None:
+    def _apply_failures(self, failed: list[_FailedProbe]) -> None:
         """Count the failures, unless all servers that were up failed in this round."""
-        up = [x for x in self.probed.values() if x.state is not ServerState.DOWN]
-        lost = [x for x in failed if x.probed.state is not ServerState.DOWN]
-        frozen = len(up) > 1 and len(lost) == len(up)
+        up_before = [x for x in self.probed.values() if x.state is not ServerState.DOWN]
+        newly_failed = [x for x in failed if x.probed.state is not ServerState.DOWN]
+        frozen = len(up_before) > 1 and len(newly_failed) == len(up_before)
         if frozen != self.frozen:
-            get_logger().warning("probes_frozen", frozen=frozen, servers=len(up))
+            get_logger().warning("probes_frozen", frozen=frozen, servers=len(up_before))
         self.frozen = frozen
         if frozen:
             return
@@ -143,7 +145,7 @@
             if probed.failures >= FAILURES_UNTIL_DOWN:
                 self._set_state(probed, ServerState.DOWN)
 
-    def _set_state(self, probed: _Probed, state: ServerState) -> None:
+    def _set_state(self, probed: _ProbedServer, state: ServerState) -> None:
         if probed.state is state:
             return
         probed.state = state
--- a/ebonybend/control/rules_admin.py
+++ b/ebonybend/control/rules_admin.py
@@ -33,6 +33,7 @@
 
 DEFAULT_HISTORY = 50
 MAX_HISTORY = 1000
+# Maximum length of the headers Author, Change-Id and Reason.
 MAX_NAME = 200
 
 
@@ -61,21 +62,21 @@
 
     async def check(self, request: IncomingRequest) -> OutgoingAnswer:
         """Return the errors of a rules text."""
-        return json_answer(CheckAnswer(self._errors(_text(request))))
+        return json_answer(CheckAnswer(self._find_errors(_decode_text(request))))
 
     async def change(self, request: IncomingRequest) -> OutgoingAnswer:
         """Apply a change, or return why it was refused."""
-        change = _proposed(request)
-        known = self.replica.get(RecordKind.RULES)
-        if known is not None and known.change_id == change.change_id:
-            return json_answer(ApplyAnswer(known.revision, change.change_id))
-        errors = self._errors(change.text)
+        change = _parse_change(request)
+        newest = self.replica.get(RecordKind.RULES)
+        if newest is not None and newest.change_id == change.change_id:
+            return json_answer(ApplyAnswer(newest.revision, change.change_id))
+        errors = self._find_errors(change.text)
         if errors:
-            self._refused("rules_refused", change, errors[0].message)
+            self._audit_refusal("rules_refused", change, errors[0].message)
             return json_answer(CheckAnswer(errors), 422)
         applied = await self.store.apply(change)
         if not isinstance(applied, Success):
-            return self._failed(change, applied.failure())
+            return self._failure_answer(change, applied.failure())
         rules = applied.unwrap()
         self.replica.write(RecordKind.RULES, MAIN, rules.revision, rules_record(rules))
         revision = rules.accepted_revision(change.change_id) or rules.revision
@@ -83,7 +84,7 @@
 
     async def history(self, request: IncomingRequest) -> OutgoingAnswer:
         """Return recorded changes and events, newest first."""
-        limit = _limit(request.argument("limit"))
+        limit = _parse_limit(request.argument("limit"))
         read = await self.store.read()
         logged = await self.store.audit.newest(limit)
         if not (isinstance(read, Success) and isinstance(logged, Success)):
@@ -91,23 +92,27 @@
                 ErrorKind.PLATFORM_UNAVAILABLE, "the history can't be read"
             )
         recent = (change.audit_entry() for change in read.unwrap().rules.recent)
-        return json_answer(HistoryAnswer(_merged(recent, logged.unwrap(), limit)))
+        return json_answer(
+            HistoryAnswer(_merge_entries(recent, logged.unwrap(), limit))
+        )
 
-    def _errors(self, text: str) -> tuple[RuleError, ...]:
+    def _find_errors(self, text: str) -> tuple[RuleError, ...]:
         parsed = parse_rules(text)
         if not isinstance(parsed, Success):
             return parsed.failure()
-        planned = self.replica.get(RecordKind.DEPLOYMENT)
-        if planned is None:
+        deployment_record = self.replica.get(RecordKind.DEPLOYMENT)
+        if deployment_record is None:
             raise SteeringError(ErrorKind.NOT_READY, "the deployment is not known yet")
         listings = self.replica.bodies(RecordKind.SERVERS).values()
         servers = tuple(item for listing in listings for item in listing.items)
-        return check_rules(parsed.unwrap(), planned.deployment, servers)
+        return check_rules(parsed.unwrap(), deployment_record.deployment, servers)
 
-    def _failed(self, change: ProposedChange, failure: ApplyFailure) -> OutgoingAnswer:
+    def _failure_answer(
+        self, change: ProposedChange, failure: ApplyFailure
+    ) -> OutgoingAnswer:
         if failure.kind is ApplyFailureKind.CONFLICT and failure.current is not None:
-            self._refused("rules_conflict", change, failure.message)
-            return json_answer(_conflict(change, failure.current), 412)
+            self._audit_refusal("rules_conflict", change, failure.message)
+            return json_answer(_conflict_answer(change, failure.current), 412)
         if failure.kind is ApplyFailureKind.REJECTED:
             raise SteeringError(ErrorKind.BAD_REQUEST, failure.message)
         outcome = "nothing was written"
@@ -118,7 +123,7 @@
             f"{failure.message}; {outcome}; repeat with Change-Id {change.change_id}",
         )
 
-    def _refused(self, event: str, change: ProposedChange, detail: str) -> None:
+    def _audit_refusal(self, event: str, change: ProposedChange, detail: str) -> None:
         self.audit.add(
             event,
             change.author,
@@ -129,7 +134,7 @@
         )
 
 
-def _conflict(change: ProposedChange, current: RulesObject) -> ConflictAnswer:
+def _conflict_answer(change: ProposedChange, current: RulesObject) -> ConflictAnswer:
     return ConflictAnswer(
         current.revision,
         current.author,
@@ -138,7 +143,7 @@
     )
 
 
-def _merged(
+def _merge_entries(
     recent: tuple[AuditEntry, ...], logged: tuple[AuditEntry, ...], limit: int
 ) -> tuple[AuditEntry, ...]:
     """Return entries newest first; drop the second copy of an archived change."""
@@ -147,7 +152,7 @@
     return tuple(ordered[:limit])
 
 
-def _text(request: IncomingRequest) -> str:
+def _decode_text(request: IncomingRequest) -> str:
     try:
         return request.body.decode("utf-8")
     except UnicodeDecodeError as error:
@@ -156,20 +161,20 @@
         ) from error
 
 
-def _proposed(request: IncomingRequest) -> ProposedChange:
-    author = _name(request, "Author")
+def _parse_change(request: IncomingRequest) -> ProposedChange:
+    author = _read_header(request, "Author")
     if not author:
         raise SteeringError(ErrorKind.BAD_REQUEST, "the header Author is missing")
     return ProposedChange(
-        _name(request, "Change-Id") or uuid4().hex,
-        _base_revision(request.header("If-Match")),
-        _text(request),
+        _read_header(request, "Change-Id") or uuid4().hex,
+        _parse_revision(request.header("If-Match")),
+        _decode_text(request),
         author,
-        _name(request, "Reason"),
+        _read_header(request, "Reason"),
     )
 
 
-def _base_revision(text: str | None) -> int:
+def _parse_revision(text: str | None) -> int:
     digits = (text or "").strip().strip('"')
     if not digits.isascii() or not digits.isdigit() or len(digits) > 18:
         raise SteeringError(
@@ -178,7 +183,7 @@
     return int(digits)
 
 
-def _name(request: IncomingRequest, header: str) -> str:
+def _read_header(request: IncomingRequest, header: str) -> str:
     text = unquote(request.header(header) or "").strip()
     if len(text) > MAX_NAME or not text.isprintable():
         raise SteeringError(
@@ -188,7 +193,7 @@
     return text
 
 
-def _limit(text: str | None) -> int:
+def _parse_limit(text: str | None) -> int:
     if text is None:
         return DEFAULT_HISTORY
     if not text.isascii() or not text.isdigit() or len(text) > 9:
--- a/ebonybend/control/rules_view.py
+++ b/ebonybend/control/rules_view.py
@@ -13,11 +13,11 @@
 class RulesView:
     """The newest known rules, parsed once per revision."""
 
-    def __init__(self, replica: Replica, wall: Callable[[], float] = time):
+    def __init__(self, replica: Replica, wall_clock: Callable[[], float] = time):
         self.replica = replica
-        self.wall = wall
+        self.wall_clock = wall_clock
         self.rules: tuple[Rule, ...] = ()
-        replica.listen(RecordKind.RULES, self._changed)
+        replica.add_listener(RecordKind.RULES, self._on_rules_changed)
 
     @property
     def record(self) -> RulesRecord | None:
@@ -36,7 +36,7 @@
 
     def in_force(self) -> tuple[Rule, ...]:
         """Return the rules that have not expired."""
-        now = self.wall()
+        now = self.wall_clock()
         return tuple(rule for rule in self.rules if not is_expired(rule, now))
 
     def drained(self, target_kind: str) -> frozenset[str]:
@@ -55,6 +55,6 @@
             if isinstance(rule.body, PardonRule)
         )
 
-    def _changed(self, _name: str) -> None:
+    def _on_rules_changed(self, _name: str) -> None:
         # Lines that this version can't parse are ignored; the rest stays in force.
         self.rules = parse_text(self.text).rules
--- a/ebonybend/control/service.py
+++ b/ebonybend/control/service.py
@@ -20,7 +20,7 @@
 from ebonybend.peers.http_transport import (
     MAX_EXCHANGE_BYTES,
     ExchangeServer,
-    HttpPeers,
+    HttpPeerTransport,
 )
 from ebonybend.settings import Settings
 from ebonybend.steering.table import ClientMapRequest, ClientMapShard
@@ -30,7 +30,7 @@
 EXIT_FAILED = 2
 EXIT_FORCED = 1
 # Interval at which a stopping control checks whether its entry process has stopped.
-STOP_CHECK_S = 0.1
+STOP_CHECK_PERIOD_S = 0.1
 # Time that a stopping control waits beyond the maximum time that the entry needs.
 STOP_MARGIN_S = 2.0
 MS_PER_S = 1000
@@ -46,7 +46,7 @@
         self.stopping = False
         self.http = HttpClient(reactor, settings.source_address)
         self.platform = PlatformClient(self.http, settings.platform_address)
-        self.transport = HttpPeers(self.http)
+        self.transport = HttpPeerTransport(self.http)
         self.core = ControlCore(
             settings,
             time(),
@@ -59,8 +59,8 @@
         self.admin = Admin(self.core)
         self.entry_server = EntryServer(
             settings.control_listen,
-            self.core.entry_report,
-            self.core.notice,
+            self.core.handle_entry_report,
+            self.core.wait_for_notice,
             self.client_map,
         )
         self.sites: list[HttpSite] = []
@@ -69,7 +69,9 @@
     async def start(self) -> None:
         """Open the ports, synchronise and start the periodic tasks."""
         peers = ExchangeServer(
-            self.core.exchange, self.core.shards.body, self.core.entry_informed
+            self.core.exchange,
+            self.core.shards.body,
+            self.core.wait_until_entry_informed,
         )
         self._listen("exchange_listen", self.settings.exchange_listen, peers.router)
         self._listen("admin_listen", self.settings.admin_listen, self.admin.router)
@@ -93,7 +95,7 @@
         """Return one shard of the client map."""
         return self.core.shards.answer(request)
 
-    def signalled(self) -> None:
+    def handle_signal(self) -> None:
         """Stop gracefully at the first signal and at once at the second."""
         if self.stopping:
             get_logger().warning("stop_forced")
@@ -103,15 +105,15 @@
         self.stopping = True
         self.core.stopping = True
         get_logger().info("stopping")
-        Deferred.fromCoroutine(self._stop()).addErrback(self._stop_failed)
+        Deferred.fromCoroutine(self._stop()).addErrback(self._handle_stop_failure)
 
     async def _stop(self) -> None:
         """Serve the entry until it has stopped, write the instance record and stop."""
         settings = self.settings
-        longest_ms = settings.lookup_lifetime_ms + settings.longest_deadline_ms
-        deadline = self.reactor.seconds() + longest_ms / MS_PER_S + STOP_MARGIN_S
-        while self._entry_leaves() and self.reactor.seconds() < deadline:
-            await self.core.tasks.sleep(STOP_CHECK_S)
+        max_stop_ms = settings.lookup_lifetime_ms + settings.longest_deadline_ms
+        deadline = self.reactor.seconds() + max_stop_ms / MS_PER_S + STOP_MARGIN_S
+        while self._entry_is_leaving() and self.reactor.seconds() < deadline:
+            await self.core.tasks.sleep(STOP_CHECK_PERIOD_S)
         self.core.own_records.write_instance()
         self.core.stop()
         for site in self.sites:
@@ -123,7 +125,7 @@
         get_logger().info("stopped")
         self.reactor.stop()
 
-    def _entry_leaves(self) -> bool:
+    def _entry_is_leaving(self) -> bool:
         """Return whether the entry process runs and is leaving.
 
         An entry that isn't leaving outlives its control process, so the stop doesn't
@@ -134,12 +136,12 @@
             return False
         return entry.report.state is LifeState.LEAVING
 
-    def _stop_failed(self, failure: Any) -> None:
+    def _handle_stop_failure(self, failure: Any) -> None:
         get_logger().error("stop_failed", error=failure.getTraceback())
         self.exit_status = EXIT_FORCED
         self.reactor.stop()
 
-    def start_failed(self, failure: Any) -> None:
+    def handle_start_failure(self, failure: Any) -> None:
         """Log why the process can't start, and stop it."""
         if failure.check(SteeringError):
             get_logger().error("start_failed", error=failure.value.message)
@@ -157,12 +159,12 @@
 
     service = ControlService(reactor, settings)
 
-    def begin() -> None:
+    def start_service() -> None:
         loop = get_event_loop()
         for signal in (SIGTERM, SIGINT):
-            loop.add_signal_handler(signal, service.signalled)
-        Deferred.fromCoroutine(service.start()).addErrback(service.start_failed)
+            loop.add_signal_handler(signal, service.handle_signal)
+        Deferred.fromCoroutine(service.start()).addErrback(service.handle_start_failure)
 
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(start_service)
     reactor.run(installSignalHandlers=False)
     return service.exit_status
--- a/ebonybend/control/status.py
+++ b/ebonybend/control/status.py
@@ -9,12 +9,12 @@
     StatusAnswer,
     SuspectStatus,
 )
-from ebonybend.control.entry_link import EntryLink
-from ebonybend.control.members import SILENCE_S, Members
+from ebonybend.control.entry_link import EntryMonitor
+from ebonybend.control.members import LIVENESS_TIMEOUT_S, Members
 from ebonybend.control.own_records import sum_shifts
 from ebonybend.control.platform_feed import PlatformFeed
 from ebonybend.control.rules_view import RulesView
-from ebonybend.control.table_builder import DOMAIN_SILENCE_S, TableBuilder, age_ms
+from ebonybend.control.table_builder import DOMAIN_TIMEOUT_S, TableBuilder, age_ms
 from ebonybend.peers.merge import Replica
 from ebonybend.peers.records import (
     DomainSummary,
@@ -24,7 +24,7 @@
 )
 from ebonybend.rules.model import CapRule, ShiftRule
 
-NEVER_HEARD_MS = -1.0
+NEVER_SEEN_AGE_MS = -1.0
 
 
 class StatusReporter:
@@ -35,7 +35,7 @@
         replica: Replica,
         members: Members,
         rules: RulesView,
-        entry: EntryLink,
+        entry: EntryMonitor,
         feed: PlatformFeed,
         builder: TableBuilder,
     ):
@@ -53,10 +53,10 @@
         return StatusAnswer(
             revision,
             # False before the platform's list is known: instances may be missing.
-            bool(self._listed()) and not waiting,
-            self._instances(),
-            self._servers(),
-            self._shifts(),
+            bool(self._listed_domains()) and not waiting,
+            self._instance_statuses(),
+            self._server_statuses(),
+            self._shift_statuses(),
             tuple(
                 SuspectStatus(x.fingerprint, x.crashes, x.refused, x.age_ms)
                 for x in self.builder.suspects.views()
@@ -69,11 +69,11 @@
         """Return the listed instances that have not reported a revision in force."""
         return tuple(
             name
-            for name, domain in self._listed().items()
-            if self._reported(name, domain) < revision
+            for name, domain in self._listed_domains().items()
+            if self._reported_revision(name, domain) < revision
         )
 
-    def _listed(self) -> dict[str, str]:
+    def _listed_domains(self) -> dict[str, str]:
         """Return the failure domain of each instance that the platform lists."""
         return {
             item.name: domain
@@ -83,7 +83,7 @@
             for item in listing.items
         }
 
-    def _reported(self, name: str, domain: str) -> int:
+    def _reported_revision(self, name: str, domain: str) -> int:
         """Return the last known revision in force on a listed instance, 0 if none."""
         if domain == self.members.failure_domain:
             load: LoadRecord | None = self.replica.get(RecordKind.LOAD, name)
@@ -96,41 +96,41 @@
             return 0
         return summary.revision_of(name)
 
-    def _instances(self) -> tuple[InstanceStatus, ...]:
-        names = dict(self._listed())
-        planned = self.replica.get(RecordKind.DEPLOYMENT)
-        if planned is not None:
-            for domain in planned.deployment.failure_domains:
+    def _instance_statuses(self) -> tuple[InstanceStatus, ...]:
+        names = dict(self._listed_domains())
+        deployment_record = self.replica.get(RecordKind.DEPLOYMENT)
+        if deployment_record is not None:
+            for domain in deployment_record.deployment.failure_domains:
                 names.update(dict.fromkeys(domain.instances, domain.name))
-        return tuple(self._instance(name, names[name]) for name in sorted(names))
+        return tuple(self._instance_status(name, names[name]) for name in sorted(names))
 
-    def _instance(self, name: str, domain: str) -> InstanceStatus:
+    def _instance_status(self, name: str, domain: str) -> InstanceStatus:
         record: InstanceRecord | None = self.replica.get(RecordKind.INSTANCE, name)
         if record is None:
-            return InstanceStatus(name, domain, "unknown", 0, NEVER_HEARD_MS, False)
-        age_s, reachable = self._contact(name, domain)
+            return InstanceStatus(name, domain, "unknown", 0, NEVER_SEEN_AGE_MS, False)
+        age_s, reachable = self._last_seen(name, domain)
         return InstanceStatus(
             name,
             domain,
             record.state.value,
-            self._reported(name, domain),
+            self._reported_revision(name, domain),
             age_ms(age_s),
             reachable,
         )
 
-    def _contact(self, name: str, domain: str) -> tuple[float, bool]:
+    def _last_seen(self, name: str, domain: str) -> tuple[float, bool]:
         """Return the time since an instance was last seen, and if it is reachable."""
-        if name == self.members.own:
+        if name == self.members.own_name:
             return 0.0, True
         if domain == self.members.failure_domain:
             age_s = self.replica.age_s(RecordKind.LOAD, name)
-            return age_s, age_s < SILENCE_S
+            return age_s, age_s < LIVENESS_TIMEOUT_S
         summary: DomainSummary | None = self.replica.get(RecordKind.DOMAIN, domain)
         age_s = self.replica.age_s(RecordKind.DOMAIN, domain)
         silent = summary is None or name in summary.silent
-        return age_s, age_s < DOMAIN_SILENCE_S and not silent
+        return age_s, age_s < DOMAIN_TIMEOUT_S and not silent
 
-    def _servers(self) -> tuple[ServerStatus, ...]:
+    def _server_statuses(self) -> tuple[ServerStatus, ...]:
         """Return the local domain's servers, with the limits of the local entry."""
         report = self.entry.report
         limits = {x.server: x.limit for x in report.servers} if report else {}
@@ -146,12 +146,12 @@
             for view in self.builder.servers()
         )
 
-    def _shifts(self) -> tuple[ShiftStatus, ...]:
-        own = self.members.failure_domain
+    def _shift_statuses(self) -> tuple[ShiftStatus, ...]:
+        own_domain = self.members.failure_domain
         summaries: Iterable[DomainSummary] = self.replica.bodies(
             RecordKind.DOMAIN
         ).values()
-        reports = [x.shifts for x in summaries if x.name != own]
+        reports = [x.shifts for x in summaries if x.name != own_domain]
         reports += [load.shifts for load in self.members.live_loads().values()]
         sent = {usage.rule_text: usage.sent for usage in sum_shifts(reports)}
         return tuple(
@@ -166,5 +166,7 @@
             return not self.feed.failing
         loads = self.members.live_loads().items()
         return any(
-            not load.watch_failing for name, load in loads if name != self.members.own
+            not load.watch_failing
+            for name, load in loads
+            if name != self.members.own_name
         )
--- a/ebonybend/control/table_builder.py
+++ b/ebonybend/control/table_builder.py
@@ -6,7 +6,7 @@
 from attrs import frozen
 
 from ebonybend.clock import Clock
-from ebonybend.control.members import SILENCE_S, Members
+from ebonybend.control.members import LIVENESS_TIMEOUT_S, Members
 from ebonybend.control.rules_view import RulesView
 from ebonybend.peers.merge import Replica
 from ebonybend.peers.records import (
@@ -21,9 +21,9 @@
 from ebonybend.world import BackendServer, Instance, LifeState, ServerState
 
 # Maximum age of a table. A change that must apply at once invalidates it earlier.
-TABLE_PERIOD_S = 1.0
+MAX_TABLE_AGE_S = 1.0
 # Instances of a domain without updates for this time are omitted from lookups.
-DOMAIN_SILENCE_S = 10.0
+DOMAIN_TIMEOUT_S = 10.0
 KEY_EPOCH_S = 60.0
 
 
@@ -70,29 +70,29 @@
         self.serial = 0
         self.table: Table | None = None
         self.built_at = 0.0
-        self.urgent = True
+        self.stale = True
         for kind in (RecordKind.RULES, RecordKind.DEPLOYMENT, RecordKind.INSTANCE):
-            replica.listen(kind, self._changed)
+            replica.add_listener(kind, self._on_record_changed)
 
-    def hurry(self) -> None:
+    def invalidate(self) -> None:
         """Build a new table at the next request, whatever the age of the last."""
-        self.urgent = True
+        self.stale = True
 
-    def current(self) -> Table | None:
+    def current_table(self) -> Table | None:
         """Return a table that isn't stale; None while the deployment is unknown."""
-        old = self.clock.monotonic() - self.built_at >= TABLE_PERIOD_S
-        if self.table is None or self.urgent or old:
+        expired = self.clock.monotonic() - self.built_at >= MAX_TABLE_AGE_S
+        if self.table is None or self.stale or expired:
             self._build()
         return self.table
 
-    def _changed(self, _name: str) -> None:
-        self.urgent = True
+    def _on_record_changed(self, _name: str) -> None:
+        self.stale = True
 
     def _build(self) -> None:
-        planned = self.replica.get(RecordKind.DEPLOYMENT)
-        if planned is None:
+        deployment_record = self.replica.get(RecordKind.DEPLOYMENT)
+        if deployment_record is None:
             return
-        self.urgent = False
+        self.stale = False
         self.built_at = self.clock.monotonic()
         self.serial += 1
         self.table = Table(
@@ -100,11 +100,11 @@
             self.incarnation,
             self.rules.revision,
             self.rules.text,
-            planned.deployment,
+            deployment_record.deployment,
             self.members.failure_domain,
             self.servers(),
             self.instances(),
-            self._domains(),
+            self._domain_views(),
             self.suspects.views(),
             self.client_map_version,
         )
@@ -116,9 +116,9 @@
         for load in self.members.live_loads().values():
             leaving.update(load.draining)
         items = (listing or ServerListing()).items
-        return tuple(self._server(item, item.name in leaving) for item in items)
+        return tuple(self._server_view(item, item.name in leaving) for item in items)
 
-    def _server(self, server: BackendServer, leaving: bool) -> ServerView:
+    def _server_view(self, server: BackendServer, leaving: bool) -> ServerView:
         probe = self.probes.view(server.name)
         leaving = leaving or server.state is LifeState.LEAVING
         return ServerView(
@@ -144,11 +144,13 @@
         summaries = self.replica.bodies(RecordKind.DOMAIN)
         records = self.replica.bodies(RecordKind.INSTANCE)
         return tuple(
-            self._instance(records[name], listed.get(name), drained, loads, summaries)
+            self._instance_view(
+                records[name], listed.get(name), drained, loads, summaries
+            )
             for name in sorted(records)
         )
 
-    def _instance(
+    def _instance_view(
         self,
         record: InstanceRecord,
         listed: Instance | None,
@@ -157,18 +159,18 @@
         summaries: Mapping[str, DomainSummary],
     ) -> InstanceView:
         if record.failure_domain == self.members.failure_domain:
-            age_s, revision, epoch = self._near(record, loads.get(record.name))
-            live = age_s < SILENCE_S
+            age_s, revision, epoch = self._local_state(record, loads.get(record.name))
+            live = age_s < LIVENESS_TIMEOUT_S
         else:
             summary = summaries.get(record.failure_domain)
             age_s = self.replica.age_s(RecordKind.DOMAIN, record.failure_domain)
             silent = summary is None or record.name in summary.silent
-            live = age_s < DOMAIN_SILENCE_S and not silent
+            live = age_s < DOMAIN_TIMEOUT_S and not silent
             revision = summary.revision_of(record.name) if summary else 0
-            epoch = self._far_epoch(record)
-        listed_live = listed is not None and listed.state is LifeState.LIVE
+            epoch = self._remote_key_epoch(record)
+        is_listed_live = listed is not None and listed.state is LifeState.LIVE
         leaving = record.state is LifeState.LEAVING or record.name in drained
-        leaving = leaving or (listed is not None and not listed_live)
+        leaving = leaving or (listed is not None and not is_listed_live)
         return InstanceView(
             record.name,
             record.incarnation,
@@ -181,24 +183,24 @@
             epoch,
             revision,
             age_ms(age_s),
-            listed_live,
+            is_listed_live,
         )
 
-    def _near(
+    def _local_state(
         self, record: InstanceRecord, load: LoadRecord | None
     ) -> tuple[float, int, int]:
-        own = record.name == self.members.own
-        age_s = 0.0 if own else self.replica.age_s(RecordKind.LOAD, record.name)
+        is_own = record.name == self.members.own_name
+        age_s = 0.0 if is_own else self.replica.age_s(RecordKind.LOAD, record.name)
         if load is None:
             return age_s, 0, record.key_epoch
         return age_s, load.rules_revision, load.key_epoch
 
-    def _far_epoch(self, record: InstanceRecord) -> int:
+    def _remote_key_epoch(self, record: InstanceRecord) -> int:
         # Ages omit transfer times, so the result is never ahead of the owner's epoch.
         age_s = self.replica.age_s(RecordKind.INSTANCE, record.name)
         return record.key_epoch + int(age_s / KEY_EPOCH_S)
 
-    def _domains(self) -> tuple[DomainView, ...]:
+    def _domain_views(self) -> tuple[DomainView, ...]:
         summaries = self.replica.bodies(RecordKind.DOMAIN)
         return tuple(
             DomainView(
--- a/ebonybend/control/tests/cluster.py
+++ b/ebonybend/control/tests/cluster.py
@@ -25,10 +25,10 @@
 )
 
 STEP_S = 0.01
-NEAR_S = 0.001
-FAR_S = 0.055
+LOCAL_DELAY_S = 0.001
+REMOTE_DELAY_S = 0.055
 TIMEOUT_S = 1.0
-REPORT_S = 0.25
+REPORT_PERIOD_S = 0.25
 DOMAINS = {
     "k1": ("k1-a", "k1-b"),
     "k2": ("k2-a",),
@@ -46,12 +46,12 @@
 
 
 @define
-class ServerDouble:
+class HealthDouble:
     """A health client of a backend server; with state None its probes fail."""
 
     state: str | None = "ready"
 
-    async def ask(self, timeout_s):
+    async def get_health(self, timeout_s):
         if self.state is None:
             raise ProbeFailed("no answer")
         return Health(self.state, 1, 4)
@@ -68,7 +68,7 @@
     suspects: tuple[SuspectView, ...] = ()
     servers: tuple = ()
     # Neither reports nor receives tables, like a paused process.
-    deaf: bool = False
+    paused: bool = False
 
     def report(self):
         table = self.table
@@ -88,9 +88,9 @@
 
     async def exchange(self):
         core = self.node.core
-        if core is None or self.deaf:
+        if core is None or self.paused:
             return
-        reply = await core.entry_report(unpack(pack(self.report()), EntryReport))
+        reply = await core.handle_entry_report(unpack(pack(self.report()), EntryReport))
         if reply.table is None:
             return
         if self.table is not None:
@@ -126,8 +126,8 @@
     async def send(self, address, request):
         data = pack(request)
         self.sent += len(data)
-        target = self.cluster.at(address)
-        delay = NEAR_S if target.domain == self.node.domain else FAR_S
+        target = self.cluster.node_at(address)
+        delay = LOCAL_DELAY_S if target.domain == self.node.domain else REMOTE_DELAY_S
         await deferLater(self.cluster.clock, delay)
         if target.core is None:
             return None
@@ -139,8 +139,8 @@
         return unpack(reply, ExchangeReply)
 
     async def fetch_shard(self, address, shard):
-        target = self.cluster.at(address)
-        await deferLater(self.cluster.clock, NEAR_S)
+        target = self.cluster.node_at(address)
+        await deferLater(self.cluster.clock, LOCAL_DELAY_S)
         connected = self.cluster.connected(self.node.name, target.name)
         if target.core is None or not connected:
             return None
@@ -156,8 +156,8 @@
         self.clock = Clock()
         self.clock.advance(1000.0)
         self.nodes: dict[str, Node] = {}
-        self.cuts: set[frozenset] = set()
-        self.servers: dict[str, ServerDouble] = {}
+        self.partitions: set[frozenset] = set()
+        self.servers: dict[str, HealthDouble] = {}
         self.memory = MemoryStore(self.clock)
         self.tasks = Tasks(self.clock)
         self.write_platform()
@@ -180,7 +180,7 @@
         self.memory.write(kind, name, to_json(value))
 
     def list_server(self, name, domain, state=LifeState.LIVE):
-        self.servers.setdefault(name, ServerDouble())
+        self.servers.setdefault(name, HealthDouble())
         server = BackendServer(name, "rides", domain, name, 4, state=state)
         self.write("server", name, server)
 
@@ -189,18 +189,18 @@
             "instance", node.name, Instance(node.name, node.domain, node.address, state)
         )
 
-    def at(self, address):
+    def node_at(self, address):
         return next(x for x in self.nodes.values() if x.address == address)
 
     def connected(self, first, second):
-        return frozenset((first, second)) not in self.cuts
+        return frozenset((first, second)) not in self.partitions
 
-    def cut(self, names):
+    def partition(self, names):
         """Partition nodes from all others."""
         for name in names:
             for other in self.nodes:
                 if other not in names:
-                    self.cuts.add(frozenset((name, other)))
+                    self.partitions.add(frozenset((name, other)))
 
     def start(self, name):
         node = self.nodes[name]
@@ -228,7 +228,7 @@
         node.ready_at = None
         if node.entry is None:
             node.entry = EntryDouble(node)
-            self.tasks.repeat(REPORT_S, node.entry.exchange)
+            self.tasks.repeat(REPORT_PERIOD_S, node.entry.exchange)
         self.tasks.start(self._run(node, node.core))
 
     async def _run(self, node, core):
--- a/ebonybend/control/tests/test_cluster.py
+++ b/ebonybend/control/tests/test_cluster.py
@@ -14,7 +14,7 @@
 from ebonybend.world import LifeState, ServerState
 
 TEXT = "# Ana (test): {}\nweights service=rides latency=0.8 headroom=0.2\n"
-EVERYWHERE_S = 5.0
+PROPAGATION_TIMEOUT_S = 5.0
 
 
 def apply(cluster, name, change_id, base=None):
@@ -24,14 +24,14 @@
     change = ProposedChange(change_id, base, TEXT.format(change_id), "Ana", "test")
     results = []
 
-    def accepted(result):
+    def record_result(result):
         results.append(result)
         rules = result.value_or(None)
         if rules is not None:
             record = rules_record(rules)
             core.replica.write(RecordKind.RULES, MAIN, rules.revision, record)
 
-    Deferred.fromCoroutine(core.rules_store.apply(change)).addCallback(accepted)
+    Deferred.fromCoroutine(core.rules_store.apply(change)).addCallback(record_result)
     return results
 
 
@@ -47,24 +47,24 @@
         return results[0].unwrap().revision
 
 
-class SpreadTest(TestWithScenarios, ClusterCase):
+class PropagationTest(TestWithScenarios, ClusterCase):
     """Guards against an accepted change that doesn't reach every instance in time."""
 
     scenarios = [
         ("healthy", {"without_platform": (), "from_node": "k2-a"}),
         (
-            "watches cut",
+            "watches fail",
             {
                 "without_platform": ("k1-a", "k1-b", "m1-a", "m1-b", "v1-a"),
                 "from_node": "k2-a",
             },
         ),
         (
-            "one domain cut from the platform",
+            "one domain without the platform",
             {"without_platform": ("m1-a", "m1-b"), "from_node": "k1-a"},
         ),
         (
-            "leader cut from the platform",
+            "leader without the platform",
             {"without_platform": ("k1-a",), "from_node": "v1-a"},
         ),
     ]
@@ -75,29 +75,33 @@
             self.nodes[name].store.down = True
         self.cluster.run(4.0)
         revision = self.change(self.from_node)
-        self.cluster.run_until(lambda: self.cluster.in_force(revision), EVERYWHERE_S)
+        self.cluster.run_until(
+            lambda: self.cluster.in_force(revision), PROPAGATION_TIMEOUT_S
+        )
         for node in self.nodes.values():
             status = node.core.status.status
             self.cluster.run_until(lambda s=status: s().in_force_everywhere, 4.0)
 
 
-class CutOffTest(ClusterCase):
+class PartitionTest(ClusterCase):
     """Guards against a partitioned domain that misses a change or reverts to an old."""
 
-    def test_domain_catches_up_after_a_cut(self):
+    def test_domain_catches_up_after_a_partition(self):
         self.cluster.start_all()
-        self.cluster.cut(("m1-a", "m1-b"))
+        self.cluster.partition(("m1-a", "m1-b"))
         for name in ("m1-a", "m1-b"):
             self.nodes[name].store.down = True
         revision = self.change("k1-a")
         others = [name for name in self.nodes if not name.startswith("m1")]
         self.cluster.run_until(
-            lambda: self.cluster.in_force(revision, others), EVERYWHERE_S
+            lambda: self.cluster.in_force(revision, others), PROPAGATION_TIMEOUT_S
         )
         self.cluster.run(10.0)
         self.assertFalse(self.nodes["k1-a"].core.status.status().in_force_everywhere)
-        self.cluster.cuts.clear()
-        self.cluster.run_until(lambda: self.cluster.in_force(revision), EVERYWHERE_S)
+        self.cluster.partitions.clear()
+        self.cluster.run_until(
+            lambda: self.cluster.in_force(revision), PROPAGATION_TIMEOUT_S
+        )
 
     def test_a_lower_revision_from_the_platform_is_ignored(self):
         self.cluster.start_all()
@@ -126,14 +130,14 @@
         self.cluster.run(10.0)
         self.assertTrue(self.nodes["k1-a"].core.synchronised)
 
-    def test_two_empty_controls_do_not_confirm_each_other(self):
+    def test_two_controls_without_data_do_not_synchronise(self):
         for name in ("k1-a", "k1-b"):
             self.nodes[name].store.down = True
             self.cluster.start(name)
         self.cluster.run(10.0)
         self.assertFalse(self.nodes["k1-a"].core.synchronised)
 
-    def test_a_peer_that_has_only_read_the_deployment_is_not_enough(self):
+    def test_an_unsynchronised_peer_is_not_enough(self):
         planned = DeploymentRecord(deployment(self.cluster.domains))
         for name in ("k1-a", "k1-b"):
             self.nodes[name].store.down = True
@@ -144,7 +148,7 @@
         self.assertFalse(self.nodes["k1-a"].core.synchronised)
         self.assertFalse(self.nodes["k1-b"].core.synchronised)
 
-    def test_a_peer_is_enough(self):
+    def test_synchronises_from_a_peer(self):
         self.cluster.start_all()
         revision = self.change("k1-a")
         self.cluster.kill("m1-a")
@@ -159,7 +163,7 @@
         self.cluster.run(1.0)
         self.assertEqual(3, len(node.entry.table.servers))
 
-    def test_the_newer_revision_of_a_peer_wins_over_the_platform(self):
+    def test_newer_revision_of_a_peer_replaces_the_platforms(self):
         self.cluster.start_all()
         self.change("k1-a", "c1")
         first = bytes(self.cluster.memory.objects["rules", "main"].value)
@@ -173,7 +177,7 @@
         self.assertEqual(2, node.core.rules.revision)
 
 
-class WatchDutyTest(ClusterCase):
+class WatchTest(ClusterCase):
     """Guards against domains without a watch, and against a watch by every control."""
 
     def watching(self, domain="k1"):
@@ -188,7 +192,7 @@
         self.assertEqual(["k1-a"], self.watching())
         self.assertEqual(["m1-a"], self.watching("m1"))
 
-    def test_takeover_when_silent(self):
+    def test_takeover_when_the_control_stops(self):
         self.cluster.start_all()
         self.cluster.kill("k1-a")
         spent = self.cluster.run_until(lambda: self.watching() == ["k1-b"], 4.0)
@@ -210,14 +214,14 @@
 
     def test_waits_for_each_entry_process(self):
         self.cluster.start_all()
-        self.nodes["m1-b"].entry.deaf = True
+        self.nodes["m1-b"].entry.paused = True
         self.change("k1-a")
         self.cluster.run(6.0)
         for node in self.nodes.values():
             status = node.core.status.status()
             self.assertFalse(status.in_force_everywhere)
             self.assertEqual(("m1-b",), status.waiting_for)
-        self.nodes["m1-b"].entry.deaf = False
+        self.nodes["m1-b"].entry.paused = False
         self.cluster.run(4.0)
         for node in self.nodes.values():
             self.assertTrue(node.core.status.status().in_force_everywhere)
@@ -250,7 +254,7 @@
             lambda: all(table.suspects for table in self.cluster.tables()), 1.0
         )
 
-    def test_success_lifts_it_everywhere(self):
+    def test_success_clears_it_everywhere(self):
         self.test_reaches_all_domains()
         self.nodes["k1-b"].entry.suspects = ()
         self.nodes["m1-a"].core.suspects.clear("f1")
@@ -282,7 +286,7 @@
             self.assertEqual([b"a", b"c"], self.shards(name))
             self.assertEqual(version, node.entry.table.client_map_version)
 
-    def test_a_start_without_platform_gets_it_from_peers(self):
+    def test_start_without_platform_fetches_it_from_peers(self):
         self.write(0, b"a")
         self.cluster.start_all()
         self.cluster.kill("v1-a")
@@ -298,7 +302,7 @@
         self.assertEqual((0, b""), (answer.shards, answer.body))
 
 
-class LeavingTest(TestWithScenarios, ClusterCase):
+class DrainingServerTest(TestWithScenarios, ClusterCase):
     """Guards against new requests to a draining server, however that is reported."""
 
     server = "rides-k1-1"
@@ -306,7 +310,7 @@
         (source, {"source": source}) for source in ("list", "health", "entry", "rule")
     ]
 
-    def leave(self):
+    def report_draining(self):
         if self.source == "list":
             self.cluster.list_server(self.server, "k1", LifeState.LEAVING)
         elif self.source == "health":
@@ -332,10 +336,10 @@
             if view.name == self.server
         ]
 
-    def test_known_to_the_domain_in_time(self):
+    def test_reaches_the_domain_in_time(self):
         self.cluster.start_all()
         self.assertEqual([ServerState.READY] * 2, self.states())
-        self.leave()
+        self.report_draining()
         self.cluster.run_until(lambda: self.states() == [ServerState.DRAINING] * 2, 3.0)
 
 
@@ -348,9 +352,9 @@
         random = Random(self.seed)
         self.cluster.start_all()
         for number in range(12):
-            self.fault(random, f"c{number}")
+            self.inject_fault(random, f"c{number}")
             self.cluster.run(random.uniform(0.2, 3.0))
-        self.cluster.cuts.clear()
+        self.cluster.partitions.clear()
         for name, node in self.nodes.items():
             node.store.down = False
             if node.core is None:
@@ -361,14 +365,14 @@
         for node in self.nodes.values():
             self.assertTrue(node.core.status.status().in_force_everywhere)
 
-    def fault(self, random, change_id):
+    def inject_fault(self, random, change_id):
         name = random.choice(sorted(self.nodes))
         node = self.nodes[name]
         kind = random.choice(["cut", "heal", "platform", "restart", "edit", "edit"])
         if kind == "cut":
-            self.cluster.cut((name,))
+            self.cluster.partition((name,))
         elif kind == "heal":
-            self.cluster.cuts.clear()
+            self.cluster.partitions.clear()
         elif kind == "platform":
             node.store.down = not node.store.down
         elif kind == "restart" and node.core is not None:
--- a/ebonybend/control/tests/test_prober.py
+++ b/ebonybend/control/tests/test_prober.py
@@ -4,28 +4,28 @@
 
 from ebonybend.clock import ManualClock
 from ebonybend.control.health_client import Health, ProbeFailed
-from ebonybend.control.prober import PROBES_AT_ONCE, Prober
+from ebonybend.control.prober import MAX_CONCURRENT_PROBES, Prober
 from ebonybend.world import BackendServer, ServerState
 
 
-class Source:
+class HealthDouble:
     """The health of one server; counts the probes that run concurrently."""
 
     running = 0
-    most = 0
+    max_running = 0
 
     def __init__(self):
         self.answer = Health("ready", 2, 4)
         self.gate = None
 
-    async def ask(self, _timeout_s):
-        Source.running += 1
-        Source.most = max(Source.most, Source.running)
+    async def get_health(self, _timeout_s):
+        HealthDouble.running += 1
+        HealthDouble.max_running = max(HealthDouble.max_running, HealthDouble.running)
         try:
             if self.gate is not None:
                 await self.gate
         finally:
-            Source.running -= 1
+            HealthDouble.running -= 1
         if isinstance(self.answer, Exception):
             raise self.answer
         return self.answer
@@ -34,9 +34,9 @@
 class ProberCase(TestCase):
     def setUp(self):
         super().setUp()
-        Source.running = Source.most = 0
+        HealthDouble.running = HealthDouble.max_running = 0
         self.clock = ManualClock()
-        self.sources = {str(number): Source() for number in range(8)}
+        self.sources = {str(number): HealthDouble() for number in range(8)}
         self.changes = []
         self.prober = Prober(
             self.clock,
@@ -46,12 +46,12 @@
         self.prober.set_servers(
             BackendServer(name, "rides", "k1", name, 4) for name in self.sources
         )
-        self.round()
+        self.run_round()
         self.changes.clear()
 
-    def round(self):
+    def run_round(self):
         self.clock.advance(0.5)
-        return Deferred.fromCoroutine(self.prober.round())
+        return Deferred.fromCoroutine(self.prober.run_round())
 
     def fail(self, names, refused=False):
         for name in names:
@@ -64,34 +64,34 @@
     def test_all_failing_at_once_keeps_the_last_state(self):
         self.fail(self.sources)
         for _ in range(6):
-            self.round()
+            self.run_round()
         self.assertEqual([], self.changes)
         self.assertTrue(self.prober.frozen)
         view = self.prober.view("0")
         self.assertIs(ServerState.READY, view.state)
         self.assertAlmostEqual(3.0, view.age_s)
-        self.assertAlmostEqual(3.0, self.prober.newest_age_s())
+        self.assertAlmostEqual(3.0, self.prober.last_answer_age_s())
 
-    def test_one_lost_probe_is_not_a_lost_server(self):
+    def test_one_failed_probe_does_not_mark_a_server_down(self):
         self.fail("3")
-        self.round()
+        self.run_round()
         self.assertEqual([], self.changes)
-        self.round()
+        self.run_round()
         self.assertEqual([("3", ServerState.DOWN)], self.changes)
 
-    def test_last_servers_up_can_be_lost(self):
+    def test_last_servers_up_can_go_down(self):
         self.fail([name for name in self.sources if name != "7"], refused=True)
-        self.round()
+        self.run_round()
         self.fail("7", refused=True)
-        self.round()
+        self.run_round()
         self.assertIs(ServerState.DOWN, self.prober.view("7").state)
 
-    def test_few_probes_run_at_once(self):
+    def test_concurrent_probes_are_limited(self):
         gate = Deferred()
         for source in self.sources.values():
             source.gate = gate
-        done = self.round()
-        self.assertEqual(PROBES_AT_ONCE, Source.most)
+        done = self.run_round()
+        self.assertEqual(MAX_CONCURRENT_PROBES, HealthDouble.max_running)
         self.assertFalse(done.called)
         gate.callback(None)
         self.assertTrue(done.called)
@@ -112,14 +112,14 @@
 
     def test_state(self):
         self.sources["2"].answer = Health(self.text)
-        self.round()
+        self.run_round()
         self.assertEqual([("2", self.state)], self.changes)
 
 
-class RefusedTest(ProberCase):
+class RefusedConnectionTest(ProberCase):
     """Guards against new requests to a server whose process has ended."""
 
     def test_refused_connection_is_down_at_once(self):
         self.fail("1", refused=True)
-        self.round()
+        self.run_round()
         self.assertEqual([("1", ServerState.DOWN)], self.changes)
--- a/ebonybend/control/where.py
+++ b/ebonybend/control/where.py
@@ -38,10 +38,10 @@
         """Return the choice for a client, a service or both."""
         if client is None and service is None:
             raise SteeringError(ErrorKind.BAD_REQUEST, "name a client or a service")
-        site, instances = self._look_up(table, client) if client else (None, ())
-        rules = self._rules(service, method)
-        domains = self._domains(table, service) if service else ()
-        servers = _servers(table, service) if service else ()
+        site, instances = self._rank_instances(table, client) if client else (None, ())
+        rules = self._applicable_rules(service, method)
+        domains = self._domain_choices(table, service) if service else ()
+        servers = _server_choices(table, service) if service else ()
         return WhereAnswer(
             client,
             site,
@@ -50,18 +50,24 @@
             tuple(describe(rule) for rule in rules),
             domains,
             servers,
-            tuple(_lines(table, client, site, instances, service, domains, servers)),
+            tuple(
+                _explanation_lines(
+                    table, client, site, instances, service, domains, servers
+                )
+            ),
         )
 
-    def _look_up(self, table: Table, client: str) -> tuple[str | None, tuple[str, ...]]:
+    def _rank_instances(
+        self, table: Table, client: str
+    ) -> tuple[str | None, tuple[str, ...]]:
         try:
             address = int(IPv4Address(client))
         except AddressValueError as error:
             raise SteeringError(ErrorKind.BAD_REQUEST, f"client: {error}") from error
         client_map = self._current_map()
         ranker = LookupRanker(table, client_map, self.rules.drained("instance"))
-        number = client_map.site_of(address)
-        site = None if number is None else client_map.sites[number]
+        site_number = client_map.site_of(address)
+        site = None if site_number is None else client_map.sites[site_number]
         return site, tuple(view.name for view in ranker.rank(address))
 
     def _current_map(self) -> ClientMap:
@@ -73,18 +79,20 @@
             self._client_map_version = version
         return self._client_map
 
-    def _rules(self, service: str | None, method: str) -> tuple[Rule, ...]:
+    def _applicable_rules(self, service: str | None, method: str) -> tuple[Rule, ...]:
         return tuple(
-            rule for rule in self.rules.in_force() if _bears_on(rule, service, method)
+            rule for rule in self.rules.in_force() if _applies_to(rule, service, method)
         )
 
-    def _domains(self, table: Table, service: str) -> tuple[DomainChoice, ...]:
+    def _domain_choices(self, table: Table, service: str) -> tuple[DomainChoice, ...]:
         if service not in {known.name for known in table.deployment.services}:
             raise SteeringError(ErrorKind.UNKNOWN_SERVICE, f"no service {service!r}")
         latency, headroom = self._weights(table, service)
         options = tuple(
             option
-            for option in (_option(table, view, service) for view in table.domains)
+            for option in (
+                _domain_option(table, view, service) for view in table.domains
+            )
             if option is not None
         )
         query = DomainQuery(service, table.failure_domain, options, latency, headroom)
@@ -94,7 +102,7 @@
                 score.domain,
                 round(score.score, 4),
                 f"latency {score.latency_part:.3f}, headroom {score.headroom_part:.3f},"
-                f" age {score.age_ms:.0f} ms{_obstacle(score.reason)}",
+                f" age {score.age_ms:.0f} ms{_unusable_suffix(score.reason)}",
             )
             for score in chooser.explain(query)
         )
@@ -107,7 +115,7 @@
         return contract.latency_weight, contract.headroom_weight
 
 
-def _bears_on(rule: Rule, service: str | None, method: str) -> bool:
+def _applies_to(rule: Rule, service: str | None, method: str) -> bool:
     body = rule.body
     if isinstance(body, RefuseRule) and body.method not in (None, method):
         return False
@@ -118,7 +126,7 @@
     return isinstance(body, DrainRule)
 
 
-def _option(table: Table, view: DomainView, service: str) -> DomainOption | None:
+def _domain_option(table: Table, view: DomainView, service: str) -> DomainOption | None:
     load = _load_of(view, service)
     if load is None:
         return None
@@ -137,17 +145,17 @@
     return next((load for load in view.services if load.service == service), None)
 
 
-def _servers(table: Table, service: str) -> tuple[ServerChoice, ...]:
+def _server_choices(table: Table, service: str) -> tuple[ServerChoice, ...]:
     """Return the local domain's servers, ready and least loaded first."""
     views = [view for view in table.servers if view.service == service]
-    return tuple(_server(view) for view in sorted(views, key=_server_order))
+    return tuple(_server_choice(view) for view in sorted(views, key=_server_sort_key))
 
 
-def _server_order(view: ServerView) -> tuple[bool, float]:
+def _server_sort_key(view: ServerView) -> tuple[bool, float]:
     return view.state.value != "ready", view.reported_in_flight / max(view.slots, 1)
 
 
-def _server(view: ServerView) -> ServerChoice:
+def _server_choice(view: ServerView) -> ServerChoice:
     load = view.reported_in_flight / max(view.slots, 1)
     why = (
         f"{view.state.value}, {view.reported_in_flight} of {view.slots} slots in use,"
@@ -156,11 +164,11 @@
     return ServerChoice(view.name, round(load, 4), why)
 
 
-def _obstacle(reason: str) -> str:
+def _unusable_suffix(reason: str) -> str:
     return f", not usable: {reason}" if reason else ""
 
 
-def _lines(
+def _explanation_lines(
     table: Table,
     client: str | None,
     site: str | None,
@@ -171,8 +179,8 @@
 ) -> list[str]:
     lines = []
     if client:
-        place = site or f"unknown, taken as {table.failure_domain}"
-        lines.append(f"client {client}: site {place}")
+        site_text = site or f"unknown, taken as {table.failure_domain}"
+        lines.append(f"client {client}: site {site_text}")
         lines.append(f"a look-up lists {', '.join(instances) or 'no instance'}")
     if service and domains:
         names = ", ".join(domain.name for domain in domains)
--- a/ebonybend/peers/exchange.py
+++ b/ebonybend/peers/exchange.py
@@ -24,14 +24,14 @@
 
 # A second exchange of two local peers within this time, started by either of them,
 # brings nothing new.
-PAIR_SILENCE_S = 1.5
-FAR_PEERS_PER_ROUND = 2
-FAR_PEERS_FOR_RULES = 3
+MIN_EXCHANGE_INTERVAL_S = 1.5
+REMOTE_PEERS_PER_ROUND = 2
+REMOTE_PEERS_FOR_RULES = 3
 # Two, since one of them may be down or partitioned.
-FAR_PEERS_PER_DOMAIN_FOR_SUSPECTS = 2
-FAR_PEERS_AT_START = 8
+REMOTE_PEERS_PER_DOMAIN_FOR_SUSPECTS = 2
+REMOTE_PEERS_AT_START = 8
 # A peer whose exchange failed is chosen last for this time.
-FAILED_PEER_S = 5.0
+FAILED_PEER_AVOIDANCE_S = 5.0
 RULES = RecordName(RecordKind.RULES, MAIN)
 
 
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        own: str,
+        own_name: str,
         failure_domain: str,
         replica: Replica,
         suspects: SuspectSet,
@@ -72,7 +72,7 @@
         timers: Timers,
         random: Random,
     ):
-        self.own = own
+        self.own_name = own_name
         self.failure_domain = failure_domain
         self.replica = replica
         self.suspects = suspects
@@ -84,70 +84,72 @@
         self.tasks = Tasks(timers)
         # True once this control has synchronised.
         self.ready = False
-        self.on_suspects: Callable[[], None] = lambda: None
+        self.on_suspects_changed: Callable[[], None] = lambda: None
         # Time of the last exchange that a peer started or answered, by name.
-        self.contacts: dict[str, float] = {}
-        self.failures: dict[str, float] = {}
-        self.busy: dict[str, bool] = {}
+        self.last_contacts: dict[str, float] = {}
+        self.failed_at: dict[str, float] = {}
+        self.repeat_requested: dict[str, bool] = {}
         # Counts since the start, for metrics.
         self.started = 0
         self.failed = 0
         self.answered = 0
-        replica.listen(RecordKind.RULES, self._rules_changed)
+        replica.add_listener(RecordKind.RULES, self._on_rules_changed)
 
-    def round(self) -> None:
+    def run_round(self) -> None:
         """Exchange once with the local domain's peers and with some remote ones."""
-        near, far = self._split()
-        for peer in near:
-            if self.own < peer.name or self._silent(peer.name):
+        local, remote = self._split_peers()
+        for peer in local:
+            if self.own_name < peer.name or self._exchange_is_overdue(peer.name):
                 self.start(peer)
-        for peer in self._choose(far, FAR_PEERS_PER_ROUND):
+        for peer in self._choose_peers(remote, REMOTE_PEERS_PER_ROUND):
             self.start(peer)
-        if not near and not far:
+        if not local and not remote:
             for address in self.seeds:
                 self.tasks.start(self.exchange(address))
 
     def push_load(self) -> None:
         """Exchange at once with the local domain."""
-        near, _ = self._split()
-        for peer in near:
+        local, _ = self._split_peers()
+        for peer in local:
             self.start(peer)
 
     def push_rules(self) -> None:
         """Exchange at once with the local domain and some remote peers."""
-        near, far = self._split()
-        for peer in (*near, *self._choose(far, FAR_PEERS_FOR_RULES)):
+        local, remote = self._split_peers()
+        for peer in (*local, *self._choose_peers(remote, REMOTE_PEERS_FOR_RULES)):
             self.start(peer)
 
     def push_suspects(self, everywhere: bool) -> Deferred[list[None]]:
         """Send the suspects to the local domain and, if asked, to all others."""
-        near, far = self._split()
-        chosen = list(near)
+        local, remote = self._split_peers()
+        chosen = list(local)
         if everywhere:
-            domains = {peer.failure_domain for peer in far}
+            domains = {peer.failure_domain for peer in remote}
             for domain in sorted(domains):
-                members = [peer for peer in far if peer.failure_domain == domain]
-                chosen += self._choose(members, FAR_PEERS_PER_DOMAIN_FOR_SUSPECTS)
-        sent = [self.tasks.start(self._notify(peer)) for peer in chosen]
+                members = [peer for peer in remote if peer.failure_domain == domain]
+                chosen += self._choose_peers(
+                    members, REMOTE_PEERS_PER_DOMAIN_FOR_SUSPECTS
+                )
+        sent = [self.tasks.start(self._send_suspects(peer)) for peer in chosen]
         return gatherResults(sent, consumeErrors=True)
 
-    async def _notify(self, peer: PeerAddress) -> None:
+    async def _send_suspects(self, peer: PeerAddress) -> None:
         """Send the suspects at once, also while an exchange with the peer is running.
 
         An exchange sends them only in its second request. A crash report that waits for
         a running exchange arrives after the entry has resent the suspect request.
         """
-        near = peer.failure_domain == self.failure_domain
-        notice = self.request(near, suspects=self.suspects.records())
+        local = peer.failure_domain == self.failure_domain
+        notice = self.build_request(local, suspects=self.suspects.records())
         reply = await self.transport.send(peer.address, notice)
         if reply is not None:
-            self._take(reply.records, reply.suspects, reply.failure_domain)
+            self._merge(reply.records, reply.suspects, reply.failure_domain)
 
     async def synchronise(self) -> int:
         """Exchange with the seeds and known peers; return how many are synchronised."""
-        near, far = self._split()
-        addresses = {*self.seeds, *(peer.address for peer in near)}
-        chosen = self._choose(far, FAR_PEERS_AT_START)
+        local, remote = self._split_peers()
+        addresses = {*self.seeds, *(peer.address for peer in local)}
+        chosen = self._choose_peers(remote, REMOTE_PEERS_AT_START)
         addresses.update(peer.address for peer in chosen)
         runs = [
             Deferred.fromCoroutine(self.exchange(address))
@@ -158,36 +160,36 @@
 
     def start(self, peer: PeerAddress) -> Deferred[None]:
         """Exchange with a peer in the background, once at a time for each peer."""
-        if peer.name in self.busy:
+        if peer.name in self.repeat_requested:
             # The data that the running exchange has sent may be out of date already.
-            self.busy[peer.name] = True
+            self.repeat_requested[peer.name] = True
             return succeed(None)
-        self.busy[peer.name] = False
+        self.repeat_requested[peer.name] = False
         return self.tasks.start(self._run(peer))
 
     async def _run(self, peer: PeerAddress) -> None:
-        near = peer.failure_domain == self.failure_domain
+        local = peer.failure_domain == self.failure_domain
         try:
-            reply = await self.exchange(peer.address, near)
-            while reply is not None and self.busy[peer.name]:
-                self.busy[peer.name] = False
-                reply = await self.exchange(peer.address, near)
+            reply = await self.exchange(peer.address, local)
+            while reply is not None and self.repeat_requested[peer.name]:
+                self.repeat_requested[peer.name] = False
+                reply = await self.exchange(peer.address, local)
         finally:
-            del self.busy[peer.name]
+            del self.repeat_requested[peer.name]
         if reply is None:
-            self.failures[peer.name] = self.timers.seconds()
+            self.failed_at[peer.name] = self.timers.seconds()
         else:
-            self.failures.pop(peer.name, None)
-            self.contacts[peer.name] = self.timers.seconds()
+            self.failed_at.pop(peer.name, None)
+            self.last_contacts[peer.name] = self.timers.seconds()
 
-    async def exchange(self, address: str, near: bool = False) -> ExchangeReply | None:
+    async def exchange(self, address: str, local: bool = False) -> ExchangeReply | None:
         """Exchange with the peer at an address; return its first reply."""
         self.started += 1
-        reply = await self.transport.send(address, self.request(near))
+        reply = await self.transport.send(address, self.build_request(local))
         if reply is None:
             self.failed += 1
             return None
-        self._take(reply.records, reply.suspects, reply.failure_domain)
+        self._merge(reply.records, reply.suspects, reply.failure_domain)
         newer, older = [], []
         if reply.slow:
             newer, older = self.replica.slow_differences(reply.slow)
@@ -195,15 +197,15 @@
         differ = reply.suspects_digest != self.suspects.digest()
         suspects = self.suspects.records() if differ else ()
         if records or older or suspects:
-            rest = self.request(near, records, suspects, tuple(older))
+            rest = self.build_request(local, records, suspects, tuple(older))
             second = await self.transport.send(address, rest)
             if second is not None:
-                self._take(second.records, second.suspects, second.failure_domain)
+                self._merge(second.records, second.suspects, second.failure_domain)
         return reply
 
-    def request(
+    def build_request(
         self,
-        near: bool,
+        local: bool,
         records: tuple[Record, ...] = (),
         suspects: tuple[SuspectRecord, ...] = (),
         wanted: tuple[RecordName, ...] = (),
@@ -214,16 +216,16 @@
         from its writer, so that the confirmation of a change doesn't wait for their
         next request.
         """
-        own = self._own_load() if near else self._own_summary()
-        records = (*records, *own)
+        own_records = self._own_load() if local else self._own_summary()
+        records = (*records, *own_records)
         return ExchangeRequest(
-            self.own,
+            self.own_name,
             self.failure_domain,
             self.replica.version(RecordKind.RULES),
             self.replica.slow_digest(),
             self.suspects.digest(),
             self.replica.versions(RecordKind.DOMAIN),
-            self.replica.versions(RecordKind.LOAD) if near else {},
+            self.replica.versions(RecordKind.LOAD) if local else {},
             records,
             suspects,
             wanted,
@@ -232,8 +234,8 @@
     def answer(self, request: ExchangeRequest) -> ExchangeReply:
         """Merge the records of a request and return those that its sender lacks."""
         self.answered += 1
-        self.contacts[request.sender] = self.timers.seconds()
-        self._take(request.records, request.suspects, request.failure_domain)
+        self.last_contacts[request.sender] = self.timers.seconds()
+        self._merge(request.records, request.suspects, request.failure_domain)
         newer = [
             *request.wanted,
             *self.replica.newer_than(RecordKind.DOMAIN, request.domains),
@@ -248,7 +250,7 @@
         digest = self.suspects.digest()
         suspects = () if digest == request.suspects_digest else self.suspects.records()
         return ExchangeReply(
-            self.own,
+            self.own_name,
             self.failure_domain,
             self.replica.records(dict.fromkeys(newer)),
             suspects,
@@ -262,28 +264,28 @@
         found = self.replica.records(
             (RecordName(RecordKind.DOMAIN, self.failure_domain),)
         )
-        return tuple(record for record in found if record.writer == self.own)
+        return tuple(record for record in found if record.writer == self.own_name)
 
     def _own_load(self) -> tuple[Record, ...]:
-        return self.replica.records((RecordName(RecordKind.LOAD, self.own),))
+        return self.replica.records((RecordName(RecordKind.LOAD, self.own_name),))
 
-    def _take(
+    def _merge(
         self,
         records: Iterable[Record],
         suspects: Iterable[SuspectRecord],
         failure_domain: str,
     ) -> None:
-        near = failure_domain == self.failure_domain
+        local = failure_domain == self.failure_domain
         for record in records:
-            if near or record.kind is not RecordKind.LOAD:
-                self._offer(record)
+            if local or record.kind is not RecordKind.LOAD:
+                self._merge_record(record)
         changes = [self.suspects.merge(suspect) for suspect in suspects]
         if any(changes):
-            self.on_suspects()
-            if not near:
+            self.on_suspects_changed()
+            if not local:
                 self.push_suspects(everywhere=False)
 
-    def _offer(self, record: Record) -> None:
+    def _merge_record(self, record: Record) -> None:
         try:
             self.replica.merge_record(record)
         except SteeringError as error:
@@ -291,27 +293,27 @@
                 "record_bad", kind=record.kind.value, error=error.message
             )
 
-    def _rules_changed(self, _name: str) -> None:
+    def _on_rules_changed(self, _name: str) -> None:
         # Delayed until all records of the reply with the new rules are merged.
         self.timers.callLater(0, self.push_rules)
 
-    def _silent(self, name: str) -> bool:
-        last = self.contacts.get(name)
-        return last is None or self.timers.seconds() - last > PAIR_SILENCE_S
+    def _exchange_is_overdue(self, name: str) -> bool:
+        last = self.last_contacts.get(name)
+        return last is None or self.timers.seconds() - last > MIN_EXCHANGE_INTERVAL_S
 
-    def _split(self) -> tuple[list[PeerAddress], list[PeerAddress]]:
-        near, far = [], []
+    def _split_peers(self) -> tuple[list[PeerAddress], list[PeerAddress]]:
+        local, remote = [], []
         for peer in self.peers():
             own_domain = peer.failure_domain == self.failure_domain
-            (near if own_domain else far).append(peer)
-        return near, far
+            (local if own_domain else remote).append(peer)
+        return local, remote
 
-    def _choose(self, peers: list[PeerAddress], count: int) -> list[PeerAddress]:
+    def _choose_peers(self, peers: list[PeerAddress], count: int) -> list[PeerAddress]:
         """Return some peers at random, those that failed recently last."""
         shuffled = self.random.sample(peers, len(peers))
-        shuffled.sort(key=self._failed_lately)
+        shuffled.sort(key=self._failed_recently)
         return shuffled[:count]
 
-    def _failed_lately(self, peer: PeerAddress) -> bool:
-        failed_at = self.failures.get(peer.name, float("-inf"))
-        return self.timers.seconds() - failed_at < FAILED_PEER_S
+    def _failed_recently(self, peer: PeerAddress) -> bool:
+        failed_at = self.failed_at.get(peer.name, float("-inf"))
+        return self.timers.seconds() - failed_at < FAILED_PEER_AVOIDANCE_S
--- a/ebonybend/peers/http_transport.py
+++ b/ebonybend/peers/http_transport.py
@@ -22,7 +22,7 @@
 HEADERS = {"Content-Type": CONTENT_TYPE}
 
 
-class HttpPeers:
+class HttpPeerTransport:
     """Send exchanges to the peer ports of other controls."""
 
     def __init__(self, http: HttpClient):
@@ -73,14 +73,14 @@
     def __init__(
         self,
         exchange: PeerExchange,
-        shard: Callable[[str, int], bytes | None],
-        informed: Callable[[], Awaitable[None]],
+        find_shard: Callable[[str, int], bytes | None],
+        wait_until_informed: Callable[[], Awaitable[None]],
     ):
         self.exchange = exchange
         # Returns once the local entry process has the exchange's suspects.
-        self.informed = informed
+        self.wait_until_informed = wait_until_informed
         # Returns a shard of the client map by name and version.
-        self.shard = shard
+        self.find_shard = find_shard
         self.router = Router()
         self.router.add("POST", EXCHANGE_PATH, self.answer_exchange)
         self.router.add("GET", SHARD_PATH, self.answer_shard)
@@ -90,7 +90,7 @@
         version = request.argument("version") or ""
         body = None
         if version.isascii() and version.isdigit():
-            body = self.shard(request.argument("name") or "", int(version))
+            body = self.find_shard(request.argument("name") or "", int(version))
         if body is None:
             raise SteeringError(ErrorKind.UNKNOWN_PATH, "no such shard here")
         return OutgoingAnswer(200, body, HEADERS)
@@ -98,5 +98,5 @@
     async def answer_exchange(self, request: IncomingRequest) -> OutgoingAnswer:
         """Answer POST /peer/exchange."""
         reply = self.exchange.answer(unpack(request.body, ExchangeRequest))
-        await self.informed()
+        await self.wait_until_informed()
         return OutgoingAnswer(200, pack(reply), HEADERS)
--- a/ebonybend/peers/merge.py
+++ b/ebonybend/peers/merge.py
@@ -9,13 +9,13 @@
 from ebonybend.clock import Clock
 from ebonybend.codec import pack, unpack
 from ebonybend.peers.records import (
-    BODIES,
+    BODY_TYPES,
     FAST_KINDS,
     MAIN,
     Record,
     RecordKind,
     RecordName,
-    VersionLine,
+    RecordVersion,
 )
 
 Listener = Callable[[str], None]
@@ -29,7 +29,7 @@
 
 
 @define
-class Held:
+class StoredRecord:
     """A record with its decoded body and the local times of writing and receipt."""
 
     record: Record
@@ -46,11 +46,11 @@
 
     def __init__(self, clock: Clock):
         self.clock = clock
-        self.held: dict[RecordName, Held] = {}
+        self.stored: dict[RecordName, StoredRecord] = {}
         self.listeners: dict[RecordKind, list[Listener]] = {}
         self._slow_digest: int | None = None
 
-    def listen(self, kind: RecordKind, listener: Listener) -> None:
+    def add_listener(self, kind: RecordKind, listener: Listener) -> None:
         """Call a listener with the name of each record of a kind that changes."""
         self.listeners.setdefault(kind, []).append(listener)
 
@@ -63,12 +63,12 @@
     def merge_record(self, record: Record) -> bool:
         """Store a record if it is newer than the stored one; return whether it is."""
         key = RecordName(record.kind, record.name)
-        known = self.held.get(key)
-        if known is not None and not _newer(record, known.record):
+        current = self.stored.get(key)
+        if current is not None and not _newer(record, current.record):
             return False
-        body = unpack(record.body, BODIES[record.kind])
+        body = unpack(record.body, BODY_TYPES[record.kind])
         now = self.clock.monotonic()
-        self.held[key] = Held(record, body, now - record.age_ms / 1000, now)
+        self.stored[key] = StoredRecord(record, body, now - record.age_ms / 1000, now)
         if record.kind not in FAST_KINDS:
             self._slow_digest = None
         for listener in self.listeners.get(record.kind, ()):
@@ -77,34 +77,36 @@
 
     def get(self, kind: RecordKind, name: str = MAIN) -> Any:
         """Return a record's body, or None."""
-        known = self.held.get(RecordName(kind, name))
-        return None if known is None else known.body
+        current = self.stored.get(RecordName(kind, name))
+        return None if current is None else current.body
 
     def version(self, kind: RecordKind, name: str = MAIN) -> int:
         """Return a record's version, 0 if there is none."""
-        known = self.held.get(RecordName(kind, name))
-        return 0 if known is None else known.record.version
+        current = self.stored.get(RecordName(kind, name))
+        return 0 if current is None else current.record.version
 
     def age_s(self, kind: RecordKind, name: str) -> float:
         """Return the time since a record was written, infinite if there is none."""
-        known = self.held.get(RecordName(kind, name))
-        if known is None:
+        current = self.stored.get(RecordName(kind, name))
+        if current is None:
             return float("inf")
-        return self.clock.monotonic() - known.written_at
+        return self.clock.monotonic() - current.written_at
 
     def bodies(self, kind: RecordKind) -> dict[str, Any]:
         """Return all bodies of a kind by name."""
         return {
-            key.name: held.body for key, held in self.held.items() if key.kind is kind
+            key.name: stored.body
+            for key, stored in self.stored.items()
+            if key.kind is kind
         }
 
     def record(self, key: RecordName) -> Record | None:
         """Return a record with its current age, or None."""
-        known = self.held.get(key)
-        if known is None:
+        current = self.stored.get(key)
+        if current is None:
             return None
-        age_ms = (self.clock.monotonic() - known.written_at) * 1000
-        return evolve(known.record, age_ms=age_ms)
+        age_ms = (self.clock.monotonic() - current.written_at) * 1000
+        return evolve(current.record, age_ms=age_ms)
 
     def records(self, keys: Iterable[RecordName]) -> tuple[Record, ...]:
         """Return those of the named records that are stored."""
@@ -114,16 +116,16 @@
     def versions(self, kind: RecordKind) -> dict[str, int]:
         """Return the versions of all records of a kind by name."""
         return {
-            key.name: held.record.version
-            for key, held in self.held.items()
+            key.name: stored.record.version
+            for key, stored in self.stored.items()
             if key.kind is kind
         }
 
-    def slow_versions(self) -> tuple[VersionLine, ...]:
+    def slow_versions(self) -> tuple[RecordVersion, ...]:
         """Return the versions of all slow records except the rules."""
         return tuple(
-            VersionLine(key.kind, key.name, held.record.version)
-            for key, held in self.held.items()
+            RecordVersion(key.kind, key.name, stored.record.version)
+            for key, stored in self.stored.items()
             if key.kind not in FAST_KINDS and key.kind is not RecordKind.RULES
         )
 
@@ -143,8 +145,8 @@
         """Return the names of stored records that are newer than the given versions."""
         return [
             key
-            for key, held in self.held.items()
-            if key.kind is kind and held.record.version > versions.get(key.name, 0)
+            for key, stored in self.stored.items()
+            if key.kind is kind and stored.record.version > versions.get(key.name, 0)
         ]
 
     def older_than(
@@ -158,18 +160,26 @@
         ]
 
     def slow_differences(
-        self, lines: Iterable[VersionLine]
+        self, lines: Iterable[RecordVersion]
     ) -> tuple[list[RecordName], list[RecordName]]:
         """Return the slow records that are newer here, and those newer at the peer."""
-        theirs = {RecordName(line.kind, line.name): line.version for line in lines}
-        ours = {
+        peer_versions = {
+            RecordName(line.kind, line.name): line.version for line in lines
+        }
+        own_versions = {
             RecordName(line.kind, line.name): line.version
             for line in self.slow_versions()
         }
-        newer = [key for key in ours if ours[key] > theirs.get(key, 0)]
-        older = [key for key in theirs if theirs[key] > ours.get(key, 0)]
+        newer = [
+            key for key in own_versions if own_versions[key] > peer_versions.get(key, 0)
+        ]
+        older = [
+            key
+            for key in peer_versions
+            if peer_versions[key] > own_versions.get(key, 0)
+        ]
         return newer, older
 
 
-def _newer(record: Record, known: Record) -> bool:
-    return (record.version, record.writer) > (known.version, known.writer)
+def _newer(record: Record, current: Record) -> bool:
+    return (record.version, record.writer) > (current.version, current.writer)
--- a/ebonybend/peers/records.py
+++ b/ebonybend/peers/records.py
@@ -161,7 +161,7 @@
     shards: tuple[ShardVersion, ...] = ()
 
 
-BODIES = {
+BODY_TYPES = {
     RecordKind.INSTANCE: InstanceRecord,
     RecordKind.RULES: RulesRecord,
     RecordKind.DEPLOYMENT: DeploymentRecord,
@@ -193,7 +193,7 @@
 
 
 @frozen
-class VersionLine:
+class RecordVersion:
     """The version of a record."""
 
     kind: RecordKind
@@ -229,7 +229,7 @@
     suspects: tuple[SuspectRecord, ...] = ()
     wanted: tuple[RecordName, ...] = ()
     # Versions of the replying control's slow records, if the digests differ.
-    slow: tuple[VersionLine, ...] = ()
+    slow: tuple[RecordVersion, ...] = ()
     suspects_digest: int = 0
     # True if the replying control has synchronised since its start.
     ready: bool = False
--- a/ebonybend/peers/suspects.py
+++ b/ebonybend/peers/suspects.py
@@ -56,16 +56,16 @@
         if record.fingerprint in self.pardoned:
             return False
         now = self.clock.monotonic()
-        theirs = _suspect(record, now)
-        if now - theirs.crashed_at > theirs.lifetime_s:
+        received = _from_record(record, now)
+        if now - received.crashed_at > received.lifetime_s:
             return False
         known = self.suspects.get(record.fingerprint)
         if known is None:
-            self._make_room()
-            self.suspects[record.fingerprint] = theirs
+            self._evict_if_full()
+            self.suspects[record.fingerprint] = received
             return True
         before = known.state
-        _merge(known, theirs)
+        _merge_suspect(known, received)
         return before != known.state
 
     def clear(self, fingerprint: str) -> bool:
@@ -129,14 +129,14 @@
             if known.active
         )
 
-    def _make_room(self) -> None:
+    def _evict_if_full(self) -> None:
         if len(self.suspects) < MAX_SUSPECTS:
             return
         oldest = min(self.suspects, key=lambda name: self.suspects[name].crashed_at)
         del self.suspects[oldest]
 
 
-def _suspect(record: SuspectRecord, now: float) -> _Suspect:
+def _from_record(record: SuspectRecord, now: float) -> _Suspect:
     cleared_age_ms = record.cleared_age_ms
     suspect = _Suspect(
         max(record.crashes, len(record.servers)),
@@ -149,30 +149,30 @@
     return suspect
 
 
-def _merge(known: _Suspect, theirs: _Suspect) -> None:
-    if not known.active and theirs.crashed_at > (known.cleared_at or 0.0):
+def _merge_suspect(known: _Suspect, received: _Suspect) -> None:
+    if not known.active and received.crashed_at > (known.cleared_at or 0.0):
         # The suspicion was cleared before this crash, so the count starts again.
-        known.crashes = theirs.crashes
-        known.servers = theirs.servers
-        known.crashed_at = theirs.crashed_at
+        known.crashes = received.crashes
+        known.servers = received.servers
+        known.crashed_at = received.crashed_at
     else:
-        _merge_crashes(known, theirs)
-    known.refused = known.refused or theirs.refused
-    cleared_at = theirs.cleared_at
+        _merge_crashes(known, received)
+    known.refused = known.refused or received.refused
+    cleared_at = received.cleared_at
     if cleared_at is not None and cleared_at > known.crashed_at and known.active:
         known.cleared_at = cleared_at
 
 
-def _merge_crashes(known: _Suspect, theirs: _Suspect) -> None:
-    servers = known.servers | theirs.servers
+def _merge_crashes(known: _Suspect, received: _Suspect) -> None:
+    servers = known.servers | received.servers
     # Crashes of two servers, reported by two instances, are two crashes.
-    crashes = max(known.crashes, theirs.crashes, len(servers))
+    crashes = max(known.crashes, received.crashes, len(servers))
     if crashes > known.crashes:
-        known.crashed_at = max(known.crashed_at, theirs.crashed_at)
+        known.crashed_at = max(known.crashed_at, received.crashed_at)
     else:
         # The age in a record omits the transfer time, so the crash seems later at each
         # receiver. With the later time each exchange would renew a suspect forever.
-        known.crashed_at = min(known.crashed_at, theirs.crashed_at)
+        known.crashed_at = min(known.crashed_at, received.crashed_at)
     known.crashes = crashes
     known.servers = servers
     _refuse_repeated(known)
--- a/ebonybend/peers/tests/test_merge.py
+++ b/ebonybend/peers/tests/test_merge.py
@@ -42,7 +42,7 @@
 
 
 def contents(replica):
-    return {key: held.record.body for key, held in replica.held.items()}
+    return {key: stored.record.body for key, stored in replica.stored.items()}
 
 
 class MergeTest(TestCase):
@@ -76,7 +76,7 @@
             replicas[index].merge_record(record)
         for source in (*replicas, *replicas):
             for target in replicas:
-                for key in tuple(source.held):
+                for key in tuple(source.stored):
                     target.merge_record(source.record(key))
         self.assertEqual(contents(replicas[0]), contents(replicas[1]))
         self.assertEqual(contents(replicas[0]), contents(replicas[2]))
@@ -87,9 +87,9 @@
         seen = {}
         for record in records:
             replica.merge_record(record)
-            for key, held in replica.held.items():
-                self.assertGreaterEqual(held.record.version, seen.get(key, 0))
-                seen[key] = held.record.version
+            for key, stored in replica.stored.items():
+                self.assertGreaterEqual(stored.record.version, seen.get(key, 0))
+                seen[key] = stored.record.version
 
     @given(st.lists(RECORDS, max_size=20), st.lists(RECORDS, max_size=20))
     def test_differences_are_complete(self, ours, theirs):
@@ -123,7 +123,7 @@
         self.assertRaises(SteeringError, replica.merge_record, bad)
         self.assertEqual(3, replica.version(RecordKind.RULES))
 
-    def test_a_lower_revision_is_not_taken(self):
+    def test_a_lower_revision_is_ignored(self):
         replica = Replica(ManualClock())
         replica.merge_record(rules(5))
         self.assertFalse(replica.merge_record(rules(4)))
--- a/ebonybend/peers/tests/test_suspects.py
+++ b/ebonybend/peers/tests/test_suspects.py
@@ -25,7 +25,7 @@
         self.clock = ManualClock()
         self.suspects = SuspectSet(self.clock)
 
-    def seen(self, crashes=1, refused=False, age_ms=0.0, servers=("s1",)):
+    def make_record(self, crashes=1, refused=False, age_ms=0.0, servers=("s1",)):
         return SuspectRecord("f", crashes, refused, age_ms, servers=servers)
 
     @given(st.lists(RECORDS, max_size=12), st.randoms(use_true_random=False))
@@ -41,7 +41,7 @@
 
     def test_exchanges_do_not_renew_a_suspect(self):
         other = SuspectSet(ManualClock(50.0))
-        self.suspects.merge(self.seen())
+        self.suspects.merge(self.make_record())
         for _ in range(100):
             for source, target in (
                 (self.suspects, other),
@@ -59,29 +59,29 @@
         self.assertEqual((), self.suspects.views())
 
     def test_crashes_of_two_servers_refuse(self):
-        self.suspects.merge(self.seen(servers=("s1",)))
-        self.suspects.merge(self.seen(servers=("s2",)))
+        self.suspects.merge(self.make_record(servers=("s1",)))
+        self.suspects.merge(self.make_record(servers=("s2",)))
         self.assertTrue(self.suspects.views()[0].refused)
 
     def test_success_clears_and_a_later_crash_counts_again(self):
-        self.suspects.merge(self.seen())
+        self.suspects.merge(self.make_record())
         self.clock.advance(1)
         self.suspects.clear("f")
         self.assertEqual((), self.suspects.views())
-        self.suspects.merge(self.seen(age_ms=1500.0))
+        self.suspects.merge(self.make_record(age_ms=1500.0))
         self.assertEqual((), self.suspects.views())
         self.clock.advance(1)
-        self.suspects.merge(self.seen(servers=("s2",)))
+        self.suspects.merge(self.make_record(servers=("s2",)))
         self.assertEqual([1], [view.crashes for view in self.suspects.views()])
 
     def test_refusal_outlives_a_success_but_not_a_pardon(self):
-        self.suspects.merge(self.seen(refused=True))
+        self.suspects.merge(self.make_record(refused=True))
         self.suspects.clear("f")
         self.clock.advance(1800)
         self.suspects.expire()
         self.assertEqual(1, len(self.suspects.views()))
         self.suspects.pardon(["f"])
-        self.suspects.merge(self.seen(refused=True))
+        self.suspects.merge(self.make_record(refused=True))
         self.assertEqual((), self.suspects.views())
 
     def test_memory_is_bounded(self):
