--- a/ebonybend/control/admin.py
+++ b/ebonybend/control/admin.py
@@ -11,7 +11,7 @@
     json_answer,
 )
 
-PLAIN = {"Content-Type": "text/plain; charset=utf-8"}
+PLAIN_TEXT_HEADERS = {"Content-Type": "text/plain; charset=utf-8"}
 
 
 class Admin:
@@ -50,14 +50,14 @@
 
     async def livez(self, _request: IncomingRequest) -> OutgoingAnswer:
         """Return 200 while the process runs."""
-        return OutgoingAnswer(200, b"ok\n", PLAIN)
+        return OutgoingAnswer(200, b"ok\n", PLAIN_TEXT_HEADERS)
 
     async def readyz(self, _request: IncomingRequest) -> OutgoingAnswer:
         """Return 200 if this control has synchronised and isn't stopping."""
         if self.core.stopping:
             raise SteeringError(ErrorKind.DRAINING, "stopping")
         self._require_ready()
-        return OutgoingAnswer(200, b"ok\n", PLAIN)
+        return OutgoingAnswer(200, b"ok\n", PLAIN_TEXT_HEADERS)
 
     async def metrics_text(self, _request: IncomingRequest) -> OutgoingAnswer:
         """Return the metrics in Prometheus' text format."""
--- a/ebonybend/control/client_map.py
+++ b/ebonybend/control/client_map.py
@@ -18,7 +18,7 @@
 from ebonybend.store.watcher import Backoff
 from ebonybend.tasks import Tasks, Timers
 
-KIND = "clientmap"
+OBJECT_KIND = "clientmap"
 # Number of peers of other domains that are asked if no local peer has a shard.
 REMOTE_SOURCES = 2
 
@@ -62,11 +62,11 @@
 
     def answer(self, request: ClientMapRequest) -> ClientMapShard:
         """Return a shard of the newest complete version."""
-        shards = len(self.names)
-        if not 0 <= request.shard < shards:
-            return ClientMapShard(self.version, shards, b"")
+        shard_count = len(self.names)
+        if not 0 <= request.shard < shard_count:
+            return ClientMapShard(self.version, shard_count, b"")
         body = self.body(self.names[request.shard])
-        return ClientMapShard(self.version, shards, body or b"")
+        return ClientMapShard(self.version, shard_count, body or b"")
 
     def body(self, name: str, version: int | None = None) -> bytes | None:
         """Return the body of a shard, of any version if none is given, or None."""
@@ -119,7 +119,7 @@
             body = await self.transport.fetch_shard(peer.address, shard)
             if body is not None:
                 return body
-        stored = await self.store.get(KIND, shard.name)
+        stored = await self.store.get(OBJECT_KIND, shard.name)
         if isinstance(stored, Success) and stored.unwrap().version == shard.version:
             return _decode(stored.unwrap())
         return None
@@ -142,6 +142,9 @@
         return from_json(bytes(stored.value), ClientMapObject).body
     except SteeringError as error:
         get_logger().error(
-            "platform_object_bad", kind=KIND, name=stored.name, error=error.message
+            "platform_object_bad",
+            kind=OBJECT_KIND,
+            name=stored.name,
+            error=error.message,
         )
         return None
--- a/ebonybend/control/entry_server.py
+++ b/ebonybend/control/entry_server.py
@@ -23,7 +23,7 @@
 SERVICE = "ebonybend.Control"
 # A table of 520 nodes is larger than gRPC's default limit of 4 MB.
 MAX_MESSAGE_BYTES = 64 << 20
-OPTIONS = (
+SERVER_OPTIONS = (
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
     ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
     # A second control on the same address must fail instead of sharing the calls.
@@ -53,7 +53,7 @@
 
     async def start(self) -> None:
         """Listen; raise BAD_SETTING if the address is in use."""
-        self.server = server(options=OPTIONS)
+        self.server = server(options=SERVER_OPTIONS)
         handlers = {
             "Exchange": _grpc_handler(self.exchange, EntryReport),
             "Notice": _grpc_handler(self.notice, NoticeRequest),
--- a/ebonybend/control/metrics.py
+++ b/ebonybend/control/metrics.py
@@ -82,9 +82,9 @@
         return states
 
 
-def _gauge(name: str, text: str, value: float) -> GaugeMetricFamily:
-    return GaugeMetricFamily(PREFIX + name, text, value=float(value))
+def _gauge(name: str, help_text: str, value: float) -> GaugeMetricFamily:
+    return GaugeMetricFamily(PREFIX + name, help_text, value=float(value))
 
 
-def _counter(name: str, text: str, value: float) -> CounterMetricFamily:
-    return CounterMetricFamily(PREFIX + name, text, value=float(value))
+def _counter(name: str, help_text: str, value: float) -> CounterMetricFamily:
+    return CounterMetricFamily(PREFIX + name, help_text, value=float(value))
--- a/ebonybend/control/own_records.py
+++ b/ebonybend/control/own_records.py
@@ -55,8 +55,8 @@
         """Write the instance record if anything except its key epoch changed."""
         record = self._instance_record()
         known = self.replica.get(RecordKind.INSTANCE, self.settings.instance)
-        same = known and evolve(known, key_epoch=record.key_epoch) == record
-        if not same:
+        unchanged = known and evolve(known, key_epoch=record.key_epoch) == record
+        if not unchanged:
             self._write_record(RecordKind.INSTANCE, record)
 
     def _write_record(
--- a/ebonybend/control/platform_feed.py
+++ b/ebonybend/control/platform_feed.py
@@ -25,7 +25,7 @@
 from ebonybend.tasks import Timers
 from ebonybend.world import BackendServer, Deployment, Instance
 
-KINDS = ("deployment", "rules", "instance", "server", "clientmap")
+OBJECT_KINDS = ("deployment", "rules", "instance", "server", "clientmap")
 
 
 class PlatformFeed:
@@ -38,7 +38,7 @@
         self.timers = timers
         self.watchers = [
             Watcher(store, kind, timers, random, self._on_objects_changed)
-            for kind in KINDS
+            for kind in OBJECT_KINDS
         ]
         self.watching = False
 
--- a/ebonybend/control/prober.py
+++ b/ebonybend/control/prober.py
@@ -19,7 +19,7 @@
 # A single failed probe doesn't mark a server as down.
 FAILURES_UNTIL_DOWN = 2
 
-STATES = {
+SERVER_STATES = {
     "ready": ServerState.READY,
     "cold": ServerState.COLD,
     "draining": ServerState.DRAINING,
@@ -127,7 +127,7 @@
         probed.answered_at = self.clock.monotonic()
         probed.failures = 0
         probed.in_flight = health.in_flight
-        self._set_state(probed, STATES.get(health.state, ServerState.COLD))
+        self._set_state(probed, SERVER_STATES.get(health.state, ServerState.COLD))
 
     def _apply_failures(self, failed: list[_FailedProbe]) -> None:
         """Count the failures, unless all servers that were up failed in this round."""
--- a/ebonybend/control/rules_admin.py
+++ b/ebonybend/control/rules_admin.py
@@ -31,8 +31,8 @@
     bounded_difference,
 )
 
-DEFAULT_HISTORY = 50
-MAX_HISTORY = 1000
+DEFAULT_HISTORY_LIMIT = 50
+MAX_HISTORY_LIMIT = 1000
 # Maximum length of the headers Author, Change-Id and Reason.
 MAX_NAME = 200
 
@@ -195,7 +195,7 @@
 
 def _parse_limit(text: str | None) -> int:
     if text is None:
-        return DEFAULT_HISTORY
+        return DEFAULT_HISTORY_LIMIT
     if not text.isascii() or not text.isdigit() or len(text) > 9:
         raise SteeringError(ErrorKind.BAD_REQUEST, f"limit {text!r} is no number")
-    return max(1, min(int(text), MAX_HISTORY))
+    return max(1, min(int(text), MAX_HISTORY_LIMIT))
--- a/ebonybend/control/table_builder.py
+++ b/ebonybend/control/table_builder.py
@@ -37,7 +37,7 @@
     age_s: float
 
 
-class Probes(Protocol):
+class ProbeResults(Protocol):
     """Probe results of the local domain's backend servers."""
 
     def view(self, server: str) -> ProbeView:
@@ -56,7 +56,7 @@
         members: Members,
         rules: RulesView,
         suspects: SuspectSet,
-        probes: Probes,
+        probes: ProbeResults,
     ):
         self.incarnation = incarnation
         self.clock = clock
--- a/ebonybend/control/tests/cluster.py
+++ b/ebonybend/control/tests/cluster.py
@@ -38,11 +38,13 @@
 
 
 def deployment(domains):
-    planned = tuple(
+    failure_domains = tuple(
         FailureDomain(name, name[0], names) for name, names in domains.items()
     )
-    regions = tuple(Region(name) for name in sorted({d.region for d in planned}))
-    return Deployment(regions, planned, (), (Service("rides", "bm"),), ())
+    regions = tuple(
+        Region(name) for name in sorted({d.region for d in failure_domains})
+    )
+    return Deployment(regions, failure_domains, (), (Service("rides", "bm"),), ())
 
 
 @define
--- a/ebonybend/control/tests/test_cluster.py
+++ b/ebonybend/control/tests/test_cluster.py
@@ -84,7 +84,7 @@
 
 
 class PartitionTest(ClusterCase):
-    """Guards against a partitioned domain that misses a change or reverts to an old."""
+    """Guards against a partitioned domain that misses or reverts a change."""
 
     def test_domain_catches_up_after_a_partition(self):
         self.cluster.start_all()
@@ -138,12 +138,12 @@
         self.assertFalse(self.nodes["k1-a"].core.synchronised)
 
     def test_an_unsynchronised_peer_is_not_enough(self):
-        planned = DeploymentRecord(deployment(self.cluster.domains))
+        deployment_record = DeploymentRecord(deployment(self.cluster.domains))
         for name in ("k1-a", "k1-b"):
             self.nodes[name].store.down = True
             self.cluster.start(name)
             core = self.nodes[name].core
-            core.replica.write(RecordKind.DEPLOYMENT, MAIN, 1, planned)
+            core.replica.write(RecordKind.DEPLOYMENT, MAIN, 1, deployment_record)
         self.cluster.run(10.0)
         self.assertFalse(self.nodes["k1-a"].core.synchronised)
         self.assertFalse(self.nodes["k1-b"].core.synchronised)
@@ -163,7 +163,7 @@
         self.cluster.run(1.0)
         self.assertEqual(3, len(node.entry.table.servers))
 
-    def test_newer_revision_of_a_peer_replaces_the_platforms(self):
+    def test_newer_revision_of_a_peer_replaces_that_of_the_platform(self):
         self.cluster.start_all()
         self.change("k1-a", "c1")
         first = bytes(self.cluster.memory.objects["rules", "main"].value)
@@ -195,8 +195,8 @@
     def test_takeover_when_the_control_stops(self):
         self.cluster.start_all()
         self.cluster.kill("k1-a")
-        spent = self.cluster.run_until(lambda: self.watching() == ["k1-b"], 4.0)
-        self.assertGreater(spent, 1.9)
+        elapsed_s = self.cluster.run_until(lambda: self.watching() == ["k1-b"], 4.0)
+        self.assertGreater(elapsed_s, 1.9)
         self.cluster.start("k1-a")
         self.cluster.run(3.0)
         self.assertEqual(["k1-a"], self.watching())
--- a/ebonybend/peers/exchange.py
+++ b/ebonybend/peers/exchange.py
@@ -88,6 +88,7 @@
         # Time of the last exchange that a peer started or answered, by name.
         self.last_contacts: dict[str, float] = {}
         self.failed_at: dict[str, float] = {}
+        # Peers with a running exchange, by name; true if it must be repeated.
         self.repeat_requested: dict[str, bool] = {}
         # Counts since the start, for metrics.
         self.started = 0
@@ -159,7 +160,7 @@
         return sum(1 for reply in replies if reply is not None and reply.ready)
 
     def start(self, peer: PeerAddress) -> Deferred[None]:
-        """Exchange with a peer in the background, once at a time for each peer."""
+        """Start an exchange with a peer, or have the running one repeated."""
         if peer.name in self.repeat_requested:
             # The data that the running exchange has sent may be out of date already.
             self.repeat_requested[peer.name] = True
--- a/ebonybend/peers/http_transport.py
+++ b/ebonybend/peers/http_transport.py
@@ -19,7 +19,7 @@
 # A shard is below 1 MB; another region sends it at a few MB/s.
 SHARD_TIMEOUT_S = 5.0
 CONTENT_TYPE = "application/msgpack"
-HEADERS = {"Content-Type": CONTENT_TYPE}
+MSGPACK_HEADERS = {"Content-Type": CONTENT_TYPE}
 
 
 class HttpPeerTransport:
@@ -56,7 +56,7 @@
         self, method: str, address: str, path: str, body: bytes, timeout_s: float
     ) -> bytes | None:
         self.peer_bytes_sent += len(body)
-        headers = HEADERS if body else {}
+        headers = MSGPACK_HEADERS if body else {}
         try:
             answer = await self.http.request(
                 method, address, path, headers, body, timeout_s, MAX_EXCHANGE_BYTES
@@ -93,10 +93,10 @@
             body = self.find_shard(request.argument("name") or "", int(version))
         if body is None:
             raise SteeringError(ErrorKind.UNKNOWN_PATH, "no such shard here")
-        return OutgoingAnswer(200, body, HEADERS)
+        return OutgoingAnswer(200, body, MSGPACK_HEADERS)
 
     async def answer_exchange(self, request: IncomingRequest) -> OutgoingAnswer:
         """Answer POST /peer/exchange."""
         reply = self.exchange.answer(unpack(request.body, ExchangeRequest))
         await self.wait_until_informed()
-        return OutgoingAnswer(200, pack(reply), HEADERS)
+        return OutgoingAnswer(200, pack(reply), MSGPACK_HEADERS)
