--- a/ebonybend/peers/records.py
+++ b/ebonybend/peers/records.py
@@ -67,7 +67,7 @@
 
 @frozen
 class LoadRecord:
-    """The frequently changing state of an instance; also its control's heartbeat."""
+    """The state of an instance, written each second; shows that its control is live."""
 
     name: str
     # Revision that the entry process reported as in force.
