--- a/ebonybend/control/audit.py
+++ b/ebonybend/control/audit.py
@@ -10,26 +10,28 @@
 from ebonybend.store.audit_entry import AuditEntry
 from ebonybend.store.audit_log import AuditLog
 
-# Bounds the platform's writes to one for each control in this time.
+# Limits the writes to the platform to one per control in this period.
 FLUSH_PERIOD_S = 2.0
-# Kept while the platform is down; the oldest are dropped first.
-MAX_WAITING = 500
-MAX_DETAIL = 2000
+# Limit while the platform is unavailable; the oldest events are dropped first.
+MAX_PENDING = 500
+MAX_DETAIL_LENGTH = 2000
 
 
 class AuditQueue:
-    """Events that wait to be written."""
+    """Queue of events to be written to the audit log."""
 
-    def __init__(self, log: AuditLog, instance: str, wall: Callable[[], float] = time):
+    def __init__(
+        self, log: AuditLog, instance: str, wall_clock: Callable[[], float] = time
+    ):
         self.log = log
         self.instance = instance
-        self.wall = wall
-        self.waiting: deque[AuditEntry] = deque()
+        self.wall_clock = wall_clock
+        self.pending: deque[AuditEntry] = deque()
         # Events dropped since the start, for metrics.
         self.dropped = 0
 
-    def note(self, event: str, detail: str) -> None:
-        """Record an automatic event."""
+    def add_automatic(self, event: str, detail: str) -> None:
+        """Queue an event that no person caused."""
         self.add(event, self.instance, detail)
 
     def add(
@@ -41,29 +43,29 @@
         change_id: str = "",
         reason: str = "",
     ) -> None:
-        """Record an event that somebody caused."""
+        """Queue an event with its author."""
         get_logger().info("audit", audit_event=event, author=author, detail=detail)
         entry = AuditEntry(
-            self.wall(),
+            self.wall_clock(),
             author,
             event,
             revision,
             change_id,
             reason,
-            detail[:MAX_DETAIL],
+            detail[:MAX_DETAIL_LENGTH],
         )
-        self.waiting.append(entry)
-        if len(self.waiting) > MAX_WAITING:
-            self.waiting.popleft()
+        self.pending.append(entry)
+        if len(self.pending) > MAX_PENDING:
+            self.pending.popleft()
             self.dropped += 1
 
     async def flush(self) -> None:
-        """Write what waits; keep it for the next time if that fails."""
-        entries = tuple(self.waiting)
+        """Write the queued events; keep them for the next flush if that fails."""
+        entries = tuple(self.pending)
         if not entries:
             return
         written = await self.log.append(entries)
         if isinstance(written, Success):
             for entry in entries:
-                if self.waiting and self.waiting[0] is entry:
-                    self.waiting.popleft()
+                if self.pending and self.pending[0] is entry:
+                    self.pending.popleft()
--- a/ebonybend/control/client_map.py
+++ b/ebonybend/control/client_map.py
@@ -1,4 +1,4 @@
-"""Hold the shards of the client map and serve them to the entry and to peers."""
+"""Fetch the shards of the client map and serve them to the entry and to peers."""
 
 from collections.abc import Callable
 from random import Random
@@ -18,21 +18,21 @@
 from ebonybend.store.watcher import Backoff
 from ebonybend.tasks import Tasks, Timers
 
-KIND = "clientmap"
-# Peers of other domains that are asked when no near source has a shard.
-FAR_SOURCES = 2
+OBJECT_KIND = "clientmap"
+# Number of peers of other domains that are asked if no local peer has a shard.
+REMOTE_SOURCES = 2
 
 
 @frozen
 class ClientMapObject:
     """The value of a platform object of the kind clientmap."""
 
-    # In JSON, base64.
+    # Base64 in JSON.
     body: bytes
 
 
 class ClientMapShards:
-    """The newest complete set of shards."""
+    """Fetch and keep the newest complete set of shards."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         members: Members,
         store: ObjectStore,
         transport: PeerTransport,
-        watched: Callable[[str], StoredObject | None],
+        find_watched: Callable[[str], StoredObject | None],
         timers: Timers,
         random: Random,
     ):
@@ -48,93 +48,93 @@
         self.members = members
         self.store = store
         self.transport = transport
-        # What the own watch of the platform has read.
-        self.watched = watched
+        # Returns a shard's object as last read by the local watch, or None.
+        self.find_watched = find_watched
         self.random = random
         self.tasks = Tasks(timers)
-        # The complete set that is offered, and its version.
+        # Version and shard names of the newest complete set.
         self.version = 0
         self.names: tuple[str, ...] = ()
-        self.held: dict[ShardVersion, bytes] = {}
+        self.bodies: dict[ShardVersion, bytes] = {}
         self.on_complete: Callable[[], None] = lambda: None
         self._fetching = False
-        replica.listen(RecordKind.CLIENT_MAP, self._changed)
+        replica.add_listener(RecordKind.CLIENT_MAP, self._on_map_changed)
 
     def answer(self, request: ClientMapRequest) -> ClientMapShard:
         """Return a shard of the newest complete version."""
-        shards = len(self.names)
-        if not 0 <= request.shard < shards:
-            return ClientMapShard(self.version, shards, b"")
+        shard_count = len(self.names)
+        if not 0 <= request.shard < shard_count:
+            return ClientMapShard(self.version, shard_count, b"")
         body = self.body(self.names[request.shard])
-        return ClientMapShard(self.version, shards, body or b"")
+        return ClientMapShard(self.version, shard_count, body or b"")
 
     def body(self, name: str, version: int | None = None) -> bytes | None:
-        """Return a shard that is held, of a version or of any."""
-        for shard, body in self.held.items():
+        """Return the body of a shard, of any version if none is given, or None."""
+        for shard, body in self.bodies.items():
             if shard.name == name and version in (None, shard.version):
                 return body
         return None
 
-    def _changed(self, _name: str) -> None:
+    def _on_map_changed(self, _name: str) -> None:
         if not self._fetching:
             self._fetching = True
-            self.tasks.start(self._complete())
+            self.tasks.start(self._fetch_until_complete())
 
-    async def _complete(self) -> None:
-        """Fetch what is missing, until the newest version is whole."""
+    async def _fetch_until_complete(self) -> None:
+        """Fetch missing shards until the set of the newest version is complete."""
         backoff = Backoff(self.random)
         try:
-            while not await self._try_complete():
+            while not await self._try_fetch():
                 await self.tasks.sleep(backoff.next())
         finally:
             self._fetching = False
 
-    async def _try_complete(self) -> bool:
+    async def _try_fetch(self) -> bool:
         record: ClientMapRecord = self.replica.get(RecordKind.CLIENT_MAP)
         version = self.replica.version(RecordKind.CLIENT_MAP)
-        found: dict[ShardVersion, bytes] = {}
+        fetched: dict[ShardVersion, bytes] = {}
         for shard in record.shards:
-            body = self.held.get(shard)
+            body = self.bodies.get(shard)
             if body is None:
-                body = await self._fetch(shard)
+                body = await self._fetch_shard(shard)
             if body is None:
                 return False
-            found[shard] = body
+            fetched[shard] = body
         if version != self.replica.version(RecordKind.CLIENT_MAP):
-            # It changed meanwhile; what was fetched is kept for the next try.
-            self.held.update(found)
+            # The map changed meanwhile; the next try reuses the fetched shards.
+            self.bodies.update(fetched)
             return False
-        self.held = found
+        self.bodies = fetched
         self.names = tuple(shard.name for shard in record.shards)
         self.version = version
         get_logger().info("client_map", version=version, shards=len(self.names))
         self.on_complete()
         return True
 
-    async def _fetch(self, shard: ShardVersion) -> bytes | None:
-        watched = self.watched(shard.name)
+    async def _fetch_shard(self, shard: ShardVersion) -> bytes | None:
+        watched = self.find_watched(shard.name)
         if watched is not None and watched.version == shard.version:
             return _decode(watched)
         for peer in self._sources():
             body = await self.transport.fetch_shard(peer.address, shard)
             if body is not None:
                 return body
-        stored = await self.store.get(KIND, shard.name)
+        stored = await self.store.get(OBJECT_KIND, shard.name)
         if isinstance(stored, Success) and stored.unwrap().version == shard.version:
             return _decode(stored.unwrap())
         return None
 
     def _sources(self) -> list[Peer]:
-        """Return the peers to ask: the own domain's, lowest name first, then others.
+        """Return the peers to ask: live local ones by name, then a few remote ones.
 
-        Fetching near first keeps the reads of the platform from growing with the fleet.
+        Asking local peers first keeps platform reads from growing with the fleet.
         """
         domain = self.members.failure_domain
         peers = self.members.peers()
-        near = [peer for peer in peers if peer.failure_domain == domain]
-        far = [peer for peer in peers if peer.failure_domain != domain]
-        chosen = self.random.sample(far, min(FAR_SOURCES, len(far)))
-        return [peer for peer in near if self.members.is_live(peer.name)] + chosen
+        local = [peer for peer in peers if peer.failure_domain == domain]
+        remote = [peer for peer in peers if peer.failure_domain != domain]
+        chosen = self.random.sample(remote, min(REMOTE_SOURCES, len(remote)))
+        return [peer for peer in local if self.members.is_live(peer.name)] + chosen
 
 
 def _decode(stored: StoredObject) -> bytes | None:
@@ -142,6 +142,9 @@
         return from_json(bytes(stored.value), ClientMapObject).body
     except SteeringError as error:
         get_logger().error(
-            "platform_object_bad", kind=KIND, name=stored.name, error=error.message
+            "platform_object_bad",
+            kind=OBJECT_KIND,
+            name=stored.name,
+            error=error.message,
         )
         return None
--- a/ebonybend/control/entry_server.py
+++ b/ebonybend/control/entry_server.py
@@ -1,4 +1,4 @@
-"""Serve the entry process over gRPC on the loop that twisted runs on."""
+"""Serve the entry process over gRPC on the asyncio loop of twisted's reactor."""
 
 from asyncio import ensure_future, get_running_loop
 from collections.abc import Awaitable, Callable
@@ -23,27 +23,27 @@
 SERVICE = "ebonybend.Control"
 # A table of 520 nodes is larger than gRPC's default limit of 4 MB.
 MAX_MESSAGE_BYTES = 64 << 20
-OPTIONS = (
+SERVER_OPTIONS = (
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
     ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
     # A second control on the same address must fail instead of sharing the calls.
     ("grpc.so_reuseport", 0),
 )
 
-Exchange = Callable[[EntryReport], Awaitable[TableReply]]
-Notice = Callable[[NoticeRequest], Awaitable[NoticeReply]]
-ClientMap = Callable[[ClientMapRequest], Awaitable[ClientMapShard]]
+ExchangeHandler = Callable[[EntryReport], Awaitable[TableReply]]
+NoticeHandler = Callable[[NoticeRequest], Awaitable[NoticeReply]]
+ClientMapHandler = Callable[[ClientMapRequest], Awaitable[ClientMapShard]]
 
 
 class EntryServer:
-    """The gRPC service ebonybend.Control; handlers are coroutines on Deferreds."""
+    """Serve ebonybend.Control over gRPC; the handlers are coroutines on Deferreds."""
 
     def __init__(
         self,
         address: str,
-        exchange: Exchange,
-        notice: Notice,
-        client_map: ClientMap,
+        exchange: ExchangeHandler,
+        notice: NoticeHandler,
+        client_map: ClientMapHandler,
     ):
         self.address = address
         self.exchange = exchange
@@ -53,11 +53,11 @@
 
     async def start(self) -> None:
         """Listen; raise BAD_SETTING if the address is in use."""
-        self.server = server(options=OPTIONS)
+        self.server = server(options=SERVER_OPTIONS)
         handlers = {
-            "Exchange": _handler(self.exchange, EntryReport),
-            "Notice": _handler(self.notice, NoticeRequest),
-            "ClientMap": _handler(self.client_map, ClientMapRequest),
+            "Exchange": _grpc_handler(self.exchange, EntryReport),
+            "Notice": _grpc_handler(self.notice, NoticeRequest),
+            "ClientMap": _grpc_handler(self.client_map, ClientMapRequest),
         }
         self.server.add_generic_rpc_handlers(
             (method_handlers_generic_handler(SERVICE, handlers),)
@@ -74,7 +74,7 @@
             await Deferred.fromFuture(ensure_future(self.server.stop(0.1)))
 
 
-def _handler(function: Callable[[Any], Awaitable[Any]], kind: type) -> Any:
+def _grpc_handler(function: Callable[[Any], Awaitable[Any]], kind: type) -> Any:
     async def call(request: Any, context: Any) -> Any:
         result = Deferred.fromCoroutine(function(request))
         return await result.asFuture(get_running_loop())
--- a/ebonybend/control/metrics.py
+++ b/ebonybend/control/metrics.py
@@ -13,7 +13,7 @@
 
 
 class ControlMetrics(Collector):
-    """Read the state of the process when it is asked for."""
+    """Collect the state of the process at each scrape."""
 
     def __init__(self, core: ControlCore):
         self.core = core
@@ -22,11 +22,11 @@
         ProcessCollector(registry=self.registry)
 
     def text(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in Prometheus' text format."""
         return generate_latest(self.registry)
 
     def collect(self) -> Iterator[GaugeMetricFamily | CounterMetricFamily]:
-        """Return the metrics of this moment."""
+        """Return the current values of all metrics."""
         yield from self._gauges()
         yield from self._counters()
         yield self._servers()
@@ -55,7 +55,7 @@
             "probes_frozen", "1 while all probes fail at once.", core.prober.frozen
         )
         yield _gauge(
-            "audit_waiting", "Events not written yet.", len(core.audit.waiting)
+            "audit_waiting", "Events not written yet.", len(core.audit.pending)
         )
 
     def _counters(self) -> Iterator[CounterMetricFamily]:
@@ -82,9 +82,9 @@
         return states
 
 
-def _gauge(name: str, text: str, value: float) -> GaugeMetricFamily:
-    return GaugeMetricFamily(PREFIX + name, text, value=float(value))
+def _gauge(name: str, help_text: str, value: float) -> GaugeMetricFamily:
+    return GaugeMetricFamily(PREFIX + name, help_text, value=float(value))
 
 
-def _counter(name: str, text: str, value: float) -> CounterMetricFamily:
-    return CounterMetricFamily(PREFIX + name, text, value=float(value))
+def _counter(name: str, help_text: str, value: float) -> CounterMetricFamily:
+    return CounterMetricFamily(PREFIX + name, help_text, value=float(value))
--- a/ebonybend/control/notices.py
+++ b/ebonybend/control/notices.py
@@ -1,4 +1,4 @@
-"""Tell the entry process at once what can't wait for its next report."""
+"""Notify the entry process of changes that can't wait for its next report."""
 
 from twisted.internet.defer import CancelledError, Deferred
 
@@ -6,54 +6,54 @@
 
 
 class Notices:
-    """Count notices; wake who waits for one, or for the entry to take one."""
+    """Count notices, and let coroutines wait for a notice or for its delivery."""
 
     def __init__(self, timers: Timers):
         self.timers = timers
-        self.told = 0
-        # Notices whose content the entry process was given.
-        self.taken = 0
-        self.waiting: list[Deferred[None]] = []
+        self.posted_count = 0
+        # Number of notices whose content was delivered to the entry process.
+        self.delivered_count = 0
+        self.waiters: list[Deferred[None]] = []
 
-    def tell(self) -> None:
+    def post(self) -> None:
         """Ask the entry process for a report."""
-        self.told += 1
-        self._wake()
-
-    def take(self) -> None:
-        """Take in that the entry process is given all that was told."""
-        if self.taken < self.told:
-            self.taken = self.told
-            self._wake()
-
-    async def wait_told(self, known: int, longest_s: float) -> int:
-        """Return the number of notices once it differs from a known one."""
-        end = self.timers.seconds() + longest_s
-        while self.told == known and self.timers.seconds() < end:
-            await self._changed(end)
-        return self.told
-
-    async def wait_taken(self, longest_s: float) -> None:
-        """Return once all that was told so far is taken, or after a time."""
-        told = self.told
-        end = self.timers.seconds() + longest_s
-        while self.taken < told and self.timers.seconds() < end:
-            await self._changed(end)
-
-    async def _changed(self, end: float) -> None:
+        self.posted_count += 1
+        self._wake_waiters()
+
+    def mark_delivered(self) -> None:
+        """Record that the content of all notices so far is delivered."""
+        if self.delivered_count < self.posted_count:
+            self.delivered_count = self.posted_count
+            self._wake_waiters()
+
+    async def wait_for_notice(self, known: int, max_wait_s: float) -> int:
+        """Return the number of notices once it isn't the known one, or at a timeout."""
+        deadline = self.timers.seconds() + max_wait_s
+        while self.posted_count == known and self.timers.seconds() < deadline:
+            await self._wait_for_change(deadline)
+        return self.posted_count
+
+    async def wait_until_delivered(self, max_wait_s: float) -> None:
+        """Wait until all notices so far are delivered, or for the maximum wait."""
+        posted_count = self.posted_count
+        deadline = self.timers.seconds() + max_wait_s
+        while self.delivered_count < posted_count and self.timers.seconds() < deadline:
+            await self._wait_for_change(deadline)
+
+    async def _wait_for_change(self, deadline: float) -> None:
         changed: Deferred[None] = Deferred()
-        self.waiting.append(changed)
-        left = max(end - self.timers.seconds(), 0.0)
-        timer = self.timers.callLater(left, changed.cancel)
+        self.waiters.append(changed)
+        remaining_s = max(deadline - self.timers.seconds(), 0.0)
+        timer = self.timers.callLater(remaining_s, changed.cancel)
         try:
             await changed
         except CancelledError:
-            self.waiting.remove(changed)
+            self.waiters.remove(changed)
         finally:
             if timer.active():
                 timer.cancel()
 
-    def _wake(self) -> None:
-        waiting, self.waiting = self.waiting, []
-        for changed in waiting:
+    def _wake_waiters(self) -> None:
+        waiters, self.waiters = self.waiters, []
+        for changed in waiters:
             changed.callback(None)
--- a/ebonybend/control/rules_view.py
+++ b/ebonybend/control/rules_view.py
@@ -1,4 +1,4 @@
-"""The rules in force, as far as the control process itself acts on them."""
+"""Query the rules in force that the control process itself applies."""
 
 from collections.abc import Callable
 from time import time
@@ -11,13 +11,13 @@
 
 
 class RulesView:
-    """The newest rules known here; parsed once per revision."""
+    """The newest known rules, parsed once per revision."""
 
-    def __init__(self, replica: Replica, wall: Callable[[], float] = time):
+    def __init__(self, replica: Replica, wall_clock: Callable[[], float] = time):
         self.replica = replica
-        self.wall = wall
+        self.wall_clock = wall_clock
         self.rules: tuple[Rule, ...] = ()
-        replica.listen(RecordKind.RULES, self._changed)
+        replica.add_listener(RecordKind.RULES, self._on_rules_changed)
 
     @property
     def record(self) -> RulesRecord | None:
@@ -35,8 +35,8 @@
         return self.record.text if self.record else ""
 
     def in_force(self) -> tuple[Rule, ...]:
-        """Return the rules whose end has not passed."""
-        now = self.wall()
+        """Return the rules that have not expired."""
+        now = self.wall_clock()
         return tuple(rule for rule in self.rules if not is_expired(rule, now))
 
     def drained(self, target_kind: str) -> frozenset[str]:
@@ -55,6 +55,6 @@
             if isinstance(rule.body, PardonRule)
         )
 
-    def _changed(self, _name: str) -> None:
-        # Lines that this version can't read are left out; the rest stays in force.
+    def _on_rules_changed(self, _name: str) -> None:
+        # Lines that this version can't parse are ignored; the rest stays in force.
         self.rules = parse_text(self.text).rules
--- a/ebonybend/control/service.py
+++ b/ebonybend/control/service.py
@@ -1,4 +1,4 @@
-"""Run one control process: ports, loops and signals."""
+"""Run a control process with its ports and signal handlers."""
 
 from random import Random
 from signal import SIGINT, SIGTERM
@@ -20,7 +20,7 @@
 from ebonybend.peers.http_transport import (
     MAX_EXCHANGE_BYTES,
     ExchangeServer,
-    HttpPeers,
+    HttpPeerTransport,
 )
 from ebonybend.settings import Settings
 from ebonybend.steering.table import ClientMapRequest, ClientMapShard
@@ -29,15 +29,15 @@
 
 EXIT_FAILED = 2
 EXIT_FORCED = 1
-# How often a stopping control looks whether its entry process is done.
-STOP_CHECK_S = 0.1
-# Time beyond the entry's own that a stopping control waits for it.
+# Interval at which a stopping control checks whether its entry process has stopped.
+STOP_CHECK_PERIOD_S = 0.1
+# Time that a stopping control waits beyond the maximum time that the entry needs.
 STOP_MARGIN_S = 2.0
 MS_PER_S = 1000
 
 
 class ControlService:
-    """One control process."""
+    """One control process with its ports."""
 
     def __init__(self, reactor: Any, settings: Settings):
         self.reactor = reactor
@@ -46,7 +46,7 @@
         self.stopping = False
         self.http = HttpClient(reactor, settings.source_address)
         self.platform = PlatformClient(self.http, settings.platform_address)
-        self.transport = HttpPeers(self.http)
+        self.transport = HttpPeerTransport(self.http)
         self.core = ControlCore(
             settings,
             time(),
@@ -59,17 +59,19 @@
         self.admin = Admin(self.core)
         self.entry_server = EntryServer(
             settings.control_listen,
-            self.core.entry_report,
-            self.core.notice,
+            self.core.handle_entry_report,
+            self.core.wait_for_notice,
             self.client_map,
         )
         self.sites: list[HttpSite] = []
         self.ports: list[Any] = []
 
     async def start(self) -> None:
-        """Open the ports, synchronise and start the loops."""
+        """Open the ports, synchronise and start the periodic tasks."""
         peers = ExchangeServer(
-            self.core.exchange, self.core.shards.body, self.core.entry_informed
+            self.core.exchange,
+            self.core.shards.body,
+            self.core.wait_until_entry_informed,
         )
         self._listen("exchange_listen", self.settings.exchange_listen, peers.router)
         self._listen("admin_listen", self.settings.admin_listen, self.admin.router)
@@ -90,10 +92,10 @@
         self.ports.append(listen(self.reactor, flag, address, site))
 
     async def client_map(self, request: ClientMapRequest) -> ClientMapShard:
-        """Answer one shard of the client map."""
+        """Return one shard of the client map."""
         return self.core.shards.answer(request)
 
-    def signalled(self) -> None:
+    def handle_signal(self) -> None:
         """Stop gracefully at the first signal and at once at the second."""
         if self.stopping:
             get_logger().warning("stop_forced")
@@ -103,15 +105,15 @@
         self.stopping = True
         self.core.stopping = True
         get_logger().info("stopping")
-        Deferred.fromCoroutine(self._stop()).addErrback(self._stop_failed)
+        Deferred.fromCoroutine(self._stop()).addErrback(self._handle_stop_failure)
 
     async def _stop(self) -> None:
-        """Serve the entry until it has left, tell the peers, then end."""
+        """Serve the entry until it has stopped, write the instance record and stop."""
         settings = self.settings
-        longest_ms = settings.lookup_lifetime_ms + settings.longest_deadline_ms
-        deadline = self.reactor.seconds() + longest_ms / MS_PER_S + STOP_MARGIN_S
-        while self._entry_leaves() and self.reactor.seconds() < deadline:
-            await self.core.tasks.sleep(STOP_CHECK_S)
+        max_stop_ms = settings.lookup_lifetime_ms + settings.longest_deadline_ms
+        deadline = self.reactor.seconds() + max_stop_ms / MS_PER_S + STOP_MARGIN_S
+        while self._entry_is_leaving() and self.reactor.seconds() < deadline:
+            await self.core.tasks.sleep(STOP_CHECK_PERIOD_S)
         self.core.own_records.write_instance()
         self.core.stop()
         for site in self.sites:
@@ -123,23 +125,24 @@
         get_logger().info("stopped")
         self.reactor.stop()
 
-    def _entry_leaves(self) -> bool:
-        """Return whether the entry process lives and is leaving.
+    def _entry_is_leaving(self) -> bool:
+        """Return whether the entry process runs and is leaving.
 
-        An entry that isn't leaving outlives its control process and is not waited for.
+        An entry that isn't leaving outlives its control process, so the stop doesn't
+        wait for it.
         """
         entry = self.core.entry
         if entry.report is None or entry.age_s > 1.0:
             return False
         return entry.report.state is LifeState.LEAVING
 
-    def _stop_failed(self, failure: Any) -> None:
+    def _handle_stop_failure(self, failure: Any) -> None:
         get_logger().error("stop_failed", error=failure.getTraceback())
         self.exit_status = EXIT_FORCED
         self.reactor.stop()
 
-    def start_failed(self, failure: Any) -> None:
-        """Report why the process can't start, and end it."""
+    def handle_start_failure(self, failure: Any) -> None:
+        """Log why the process can't start, and stop it."""
         if failure.check(SteeringError):
             get_logger().error("start_failed", error=failure.value.message)
         else:
@@ -156,12 +159,12 @@
 
     service = ControlService(reactor, settings)
 
-    def begin() -> None:
+    def start_service() -> None:
         loop = get_event_loop()
         for signal in (SIGTERM, SIGINT):
-            loop.add_signal_handler(signal, service.signalled)
-        Deferred.fromCoroutine(service.start()).addErrback(service.start_failed)
+            loop.add_signal_handler(signal, service.handle_signal)
+        Deferred.fromCoroutine(service.start()).addErrback(service.handle_start_failure)
 
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(start_service)
     reactor.run(installSignalHandlers=False)
     return service.exit_status
--- a/ebonybend/control/table_builder.py
+++ b/ebonybend/control/table_builder.py
@@ -6,7 +6,7 @@
 from attrs import frozen
 
 from ebonybend.clock import Clock
-from ebonybend.control.members import SILENCE_S, Members
+from ebonybend.control.members import LIVENESS_TIMEOUT_S, Members
 from ebonybend.control.rules_view import RulesView
 from ebonybend.peers.merge import Replica
 from ebonybend.peers.records import (
@@ -20,33 +20,33 @@
 from ebonybend.steering.table import DomainView, InstanceView, ServerView, Table
 from ebonybend.world import BackendServer, Instance, LifeState, ServerState
 
-# What must be known at once asks for a new table; the rest is renewed each second.
-TABLE_PERIOD_S = 1.0
-# A domain without updates for this time serves no look-ups.
-DOMAIN_SILENCE_S = 10.0
+# Maximum age of a table. A change that must apply at once invalidates it earlier.
+MAX_TABLE_AGE_S = 1.0
+# Instances of a domain without updates for this time are omitted from lookups.
+DOMAIN_TIMEOUT_S = 10.0
 KEY_EPOCH_S = 60.0
 
 
 @frozen
 class ProbeView:
-    """What probes last found on a backend server."""
+    """The last probe result of a backend server."""
 
     state: ServerState
     in_flight: int
-    # Time since the last answered probe; infinite without one.
+    # Time since the last answered probe; infinite if there was none.
     age_s: float
 
 
-class Probes(Protocol):
-    """The results of probing the own domain's backend servers."""
+class ProbeResults(Protocol):
+    """Probe results of the local domain's backend servers."""
 
     def view(self, server: str) -> ProbeView:
-        """Return what is known of a server."""
+        """Return the last probe result of a server."""
         ...
 
 
 class TableBuilder:
-    """Combine records, probes and rules into tables with growing serials."""
+    """Build tables with increasing serials from records, probe results and rules."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         members: Members,
         rules: RulesView,
         suspects: SuspectSet,
-        probes: Probes,
+        probes: ProbeResults,
     ):
         self.incarnation = incarnation
         self.clock = clock
@@ -65,34 +65,34 @@
         self.rules = rules
         self.suspects = suspects
         self.probes = probes
-        # Version of the client map that the entry can fetch from here.
+        # Version of the client map that the entry can fetch from this control.
         self.client_map_version = 0
         self.serial = 0
         self.table: Table | None = None
         self.built_at = 0.0
-        self.urgent = True
+        self.stale = True
         for kind in (RecordKind.RULES, RecordKind.DEPLOYMENT, RecordKind.INSTANCE):
-            replica.listen(kind, self._changed)
+            replica.add_listener(kind, self._on_record_changed)
 
-    def hurry(self) -> None:
-        """Build a new table at the next request, however young the last is."""
-        self.urgent = True
+    def invalidate(self) -> None:
+        """Build a new table at the next request, whatever the age of the last."""
+        self.stale = True
 
-    def current(self) -> Table | None:
-        """Return a table that is at most TABLE_PERIOD_S old, None without a plan."""
-        old = self.clock.monotonic() - self.built_at >= TABLE_PERIOD_S
-        if self.table is None or self.urgent or old:
+    def current_table(self) -> Table | None:
+        """Return a table that isn't stale; None while the deployment is unknown."""
+        expired = self.clock.monotonic() - self.built_at >= MAX_TABLE_AGE_S
+        if self.table is None or self.stale or expired:
             self._build()
         return self.table
 
-    def _changed(self, _name: str) -> None:
-        self.urgent = True
+    def _on_record_changed(self, _name: str) -> None:
+        self.stale = True
 
     def _build(self) -> None:
-        planned = self.replica.get(RecordKind.DEPLOYMENT)
-        if planned is None:
+        deployment_record = self.replica.get(RecordKind.DEPLOYMENT)
+        if deployment_record is None:
             return
-        self.urgent = False
+        self.stale = False
         self.built_at = self.clock.monotonic()
         self.serial += 1
         self.table = Table(
@@ -100,25 +100,25 @@
             self.incarnation,
             self.rules.revision,
             self.rules.text,
-            planned.deployment,
+            deployment_record.deployment,
             self.members.failure_domain,
             self.servers(),
             self.instances(),
-            self._domains(),
+            self._domain_views(),
             self.suspects.views(),
             self.client_map_version,
         )
 
     def servers(self) -> tuple[ServerView, ...]:
-        """Return the own domain's backend servers."""
+        """Return the local domain's backend servers."""
         listing = self.replica.get(RecordKind.SERVERS, self.members.failure_domain)
         leaving = set(self.rules.drained("backend"))
         for load in self.members.live_loads().values():
             leaving.update(load.draining)
         items = (listing or ServerListing()).items
-        return tuple(self._server(item, item.name in leaving) for item in items)
+        return tuple(self._server_view(item, item.name in leaving) for item in items)
 
-    def _server(self, server: BackendServer, leaving: bool) -> ServerView:
+    def _server_view(self, server: BackendServer, leaving: bool) -> ServerView:
         probe = self.probes.view(server.name)
         leaving = leaving or server.state is LifeState.LEAVING
         return ServerView(
@@ -133,7 +133,7 @@
         )
 
     def instances(self) -> tuple[InstanceView, ...]:
-        """Return all instances that have told their addresses, by name."""
+        """Return all instances with an instance record, by name."""
         listed = {
             item.name: item
             for listing in self.replica.bodies(RecordKind.INSTANCES).values()
@@ -144,11 +144,13 @@
         summaries = self.replica.bodies(RecordKind.DOMAIN)
         records = self.replica.bodies(RecordKind.INSTANCE)
         return tuple(
-            self._instance(records[name], listed.get(name), drained, loads, summaries)
+            self._instance_view(
+                records[name], listed.get(name), drained, loads, summaries
+            )
             for name in sorted(records)
         )
 
-    def _instance(
+    def _instance_view(
         self,
         record: InstanceRecord,
         listed: Instance | None,
@@ -157,18 +159,18 @@
         summaries: Mapping[str, DomainSummary],
     ) -> InstanceView:
         if record.failure_domain == self.members.failure_domain:
-            age_s, revision, epoch = self._near(record, loads.get(record.name))
-            live = age_s < SILENCE_S
+            age_s, revision, epoch = self._local_state(record, loads.get(record.name))
+            live = age_s < LIVENESS_TIMEOUT_S
         else:
             summary = summaries.get(record.failure_domain)
             age_s = self.replica.age_s(RecordKind.DOMAIN, record.failure_domain)
             silent = summary is None or record.name in summary.silent
-            live = age_s < DOMAIN_SILENCE_S and not silent
+            live = age_s < DOMAIN_TIMEOUT_S and not silent
             revision = summary.revision_of(record.name) if summary else 0
-            epoch = self._far_epoch(record)
-        listed_live = listed is not None and listed.state is LifeState.LIVE
+            epoch = self._remote_key_epoch(record)
+        is_listed_live = listed is not None and listed.state is LifeState.LIVE
         leaving = record.state is LifeState.LEAVING or record.name in drained
-        leaving = leaving or (listed is not None and not listed_live)
+        leaving = leaving or (listed is not None and not is_listed_live)
         return InstanceView(
             record.name,
             record.incarnation,
@@ -181,24 +183,24 @@
             epoch,
             revision,
             age_ms(age_s),
-            listed_live,
+            is_listed_live,
         )
 
-    def _near(
+    def _local_state(
         self, record: InstanceRecord, load: LoadRecord | None
     ) -> tuple[float, int, int]:
-        own = record.name == self.members.own
-        age_s = 0.0 if own else self.replica.age_s(RecordKind.LOAD, record.name)
+        is_own = record.name == self.members.own_name
+        age_s = 0.0 if is_own else self.replica.age_s(RecordKind.LOAD, record.name)
         if load is None:
             return age_s, 0, record.key_epoch
         return age_s, load.rules_revision, load.key_epoch
 
-    def _far_epoch(self, record: InstanceRecord) -> int:
-        # Ages leave out transfer times, so the result is never ahead of the owner's.
+    def _remote_key_epoch(self, record: InstanceRecord) -> int:
+        # Ages omit transfer times, so the result is never ahead of the owner's epoch.
         age_s = self.replica.age_s(RecordKind.INSTANCE, record.name)
         return record.key_epoch + int(age_s / KEY_EPOCH_S)
 
-    def _domains(self) -> tuple[DomainView, ...]:
+    def _domain_views(self) -> tuple[DomainView, ...]:
         summaries = self.replica.bodies(RecordKind.DOMAIN)
         return tuple(
             DomainView(
@@ -212,5 +214,5 @@
 
 
 def age_ms(age_s: float) -> float:
-    """Return an age in whole milliseconds; an unknown age is a day."""
+    """Return an age in whole milliseconds, limited to one day if it is unknown."""
     return float(round(min(age_s, 86_400.0) * 1000))
--- a/ebonybend/control/tests/cluster.py
+++ b/ebonybend/control/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Several controls on one simulated clock, with entries, peers and a platform."""
+"""Simulate controls with entries, peers and a platform on one simulated clock."""
 
 from random import Random
 
@@ -25,10 +25,10 @@
 )
 
 STEP_S = 0.01
-NEAR_S = 0.001
-FAR_S = 0.055
+LOCAL_DELAY_S = 0.001
+REMOTE_DELAY_S = 0.055
 TIMEOUT_S = 1.0
-REPORT_S = 0.25
+REPORT_PERIOD_S = 0.25
 DOMAINS = {
     "k1": ("k1-a", "k1-b"),
     "k2": ("k2-a",),
@@ -38,20 +38,22 @@
 
 
 def deployment(domains):
-    planned = tuple(
+    failure_domains = tuple(
         FailureDomain(name, name[0], names) for name, names in domains.items()
     )
-    regions = tuple(Region(name) for name in sorted({d.region for d in planned}))
-    return Deployment(regions, planned, (), (Service("rides", "bm"),), ())
+    regions = tuple(
+        Region(name) for name in sorted({d.region for d in failure_domains})
+    )
+    return Deployment(regions, failure_domains, (), (Service("rides", "bm"),), ())
 
 
 @define
-class ServerDouble:
-    """A backend server's health; None gives no answer."""
+class HealthDouble:
+    """A health client of a backend server; with state None its probes fail."""
 
     state: str | None = "ready"
 
-    async def ask(self, timeout_s):
+    async def get_health(self, timeout_s):
         if self.state is None:
             raise ProbeFailed("no answer")
         return Health(self.state, 1, 4)
@@ -59,7 +61,7 @@
 
 @define
 class EntryDouble:
-    """An entry process that reports and takes tables."""
+    """An entry process that sends reports and receives tables."""
 
     node: "Node"
     incarnation: int = 1
@@ -67,8 +69,8 @@
     state: LifeState = LifeState.LIVE
     suspects: tuple[SuspectView, ...] = ()
     servers: tuple = ()
-    # Takes no tables, as a paused process.
-    deaf: bool = False
+    # Neither reports nor receives tables, like a paused process.
+    paused: bool = False
 
     def report(self):
         table = self.table
@@ -88,9 +90,9 @@
 
     async def exchange(self):
         core = self.node.core
-        if core is None or self.deaf:
+        if core is None or self.paused:
             return
-        reply = await core.entry_report(unpack(pack(self.report()), EntryReport))
+        reply = await core.handle_entry_report(unpack(pack(self.report()), EntryReport))
         if reply.table is None:
             return
         if self.table is not None:
@@ -101,7 +103,7 @@
 
 @define
 class Node:
-    """One instance."""
+    """One instance with its control, entry and store client."""
 
     cluster: "Cluster"
     name: str
@@ -111,13 +113,13 @@
     core: ControlCore | None = None
     entry: EntryDouble | None = None
     revision: int = 0
-    # Time from which on the control was ready.
+    # Time at which the control had synchronised.
     ready_at: float | None = None
 
 
 @define
 class Transport:
-    """Carries exchanges between nodes that are not cut off from each other."""
+    """Deliver exchanges between nodes that are not partitioned from each other."""
 
     cluster: "Cluster"
     node: Node
@@ -126,8 +128,8 @@
     async def send(self, address, request):
         data = pack(request)
         self.sent += len(data)
-        target = self.cluster.at(address)
-        delay = NEAR_S if target.domain == self.node.domain else FAR_S
+        target = self.cluster.node_at(address)
+        delay = LOCAL_DELAY_S if target.domain == self.node.domain else REMOTE_DELAY_S
         await deferLater(self.cluster.clock, delay)
         if target.core is None:
             return None
@@ -139,8 +141,8 @@
         return unpack(reply, ExchangeReply)
 
     async def fetch_shard(self, address, shard):
-        target = self.cluster.at(address)
-        await deferLater(self.cluster.clock, NEAR_S)
+        target = self.cluster.node_at(address)
+        await deferLater(self.cluster.clock, LOCAL_DELAY_S)
         connected = self.cluster.connected(self.node.name, target.name)
         if target.core is None or not connected:
             return None
@@ -148,7 +150,7 @@
 
 
 class Cluster:
-    """All nodes; time moves only in run."""
+    """All nodes; the simulated time advances only in run."""
 
     def __init__(self, seed=1):
         self.domains = dict(DOMAINS)
@@ -156,8 +158,8 @@
         self.clock = Clock()
         self.clock.advance(1000.0)
         self.nodes: dict[str, Node] = {}
-        self.cuts: set[frozenset] = set()
-        self.servers: dict[str, ServerDouble] = {}
+        self.partitions: set[frozenset] = set()
+        self.servers: dict[str, HealthDouble] = {}
         self.memory = MemoryStore(self.clock)
         self.tasks = Tasks(self.clock)
         self.write_platform()
@@ -180,7 +182,7 @@
         self.memory.write(kind, name, to_json(value))
 
     def list_server(self, name, domain, state=LifeState.LIVE):
-        self.servers.setdefault(name, ServerDouble())
+        self.servers.setdefault(name, HealthDouble())
         server = BackendServer(name, "rides", domain, name, 4, state=state)
         self.write("server", name, server)
 
@@ -189,18 +191,18 @@
             "instance", node.name, Instance(node.name, node.domain, node.address, state)
         )
 
-    def at(self, address):
+    def node_at(self, address):
         return next(x for x in self.nodes.values() if x.address == address)
 
     def connected(self, first, second):
-        return frozenset((first, second)) not in self.cuts
+        return frozenset((first, second)) not in self.partitions
 
-    def cut(self, names):
-        """Cut nodes off from all the others."""
+    def partition(self, names):
+        """Partition nodes from all others."""
         for name in names:
             for other in self.nodes:
                 if other not in names:
-                    self.cuts.add(frozenset((name, other)))
+                    self.partitions.add(frozenset((name, other)))
 
     def start(self, name):
         node = self.nodes[name]
@@ -228,7 +230,7 @@
         node.ready_at = None
         if node.entry is None:
             node.entry = EntryDouble(node)
-            self.tasks.repeat(REPORT_S, node.entry.exchange)
+            self.tasks.repeat(REPORT_PERIOD_S, node.entry.exchange)
         self.tasks.start(self._run(node, node.core))
 
     async def _run(self, node, core):
@@ -262,7 +264,7 @@
             node.revision = revision
 
     def run_until(self, condition, seconds):
-        """Return the time that a condition took; fail after some seconds."""
+        """Return the time until a condition is true; fail after some seconds."""
         started = self.clock.seconds()
         while not condition():
             if self.clock.seconds() - started > seconds:
@@ -274,7 +276,7 @@
         return [node.entry.table for node in self.nodes.values()]
 
     def in_force(self, revision, names=None):
-        """Return whether the entries of nodes have a revision in force."""
+        """Return whether the entries of the nodes have a revision in force."""
         chosen = names or self.nodes
         entries = (self.nodes[name].entry for name in chosen)
         return all(
--- a/ebonybend/control/tests/test_cluster.py
+++ b/ebonybend/control/tests/test_cluster.py
@@ -14,24 +14,24 @@
 from ebonybend.world import LifeState, ServerState
 
 TEXT = "# Ana (test): {}\nweights service=rides latency=0.8 headroom=0.2\n"
-EVERYWHERE_S = 5.0
+PROPAGATION_TIMEOUT_S = 5.0
 
 
 def apply(cluster, name, change_id, base=None):
-    """Start a change at a control; return the list that gets its result."""
+    """Start a change at a control; return a list that receives its result."""
     core = cluster.nodes[name].core
     base = core.rules.revision if base is None else base
     change = ProposedChange(change_id, base, TEXT.format(change_id), "Ana", "test")
     results = []
 
-    def accepted(result):
+    def record_result(result):
         results.append(result)
         rules = result.value_or(None)
         if rules is not None:
             record = rules_record(rules)
             core.replica.write(RecordKind.RULES, MAIN, rules.revision, record)
 
-    Deferred.fromCoroutine(core.rules_store.apply(change)).addCallback(accepted)
+    Deferred.fromCoroutine(core.rules_store.apply(change)).addCallback(record_result)
     return results
 
 
@@ -47,24 +47,24 @@
         return results[0].unwrap().revision
 
 
-class SpreadTest(TestWithScenarios, ClusterCase):
-    """Guards against an accepted change that stays unknown somewhere."""
+class PropagationTest(TestWithScenarios, ClusterCase):
+    """Guards against an accepted change that doesn't reach every instance in time."""
 
     scenarios = [
         ("healthy", {"without_platform": (), "from_node": "k2-a"}),
         (
-            "watches cut",
+            "watches fail",
             {
                 "without_platform": ("k1-a", "k1-b", "m1-a", "m1-b", "v1-a"),
                 "from_node": "k2-a",
             },
         ),
         (
-            "one domain cut from the platform",
+            "one domain without the platform",
             {"without_platform": ("m1-a", "m1-b"), "from_node": "k1-a"},
         ),
         (
-            "leader cut from the platform",
+            "leader without the platform",
             {"without_platform": ("k1-a",), "from_node": "v1-a"},
         ),
     ]
@@ -75,29 +75,33 @@
             self.nodes[name].store.down = True
         self.cluster.run(4.0)
         revision = self.change(self.from_node)
-        self.cluster.run_until(lambda: self.cluster.in_force(revision), EVERYWHERE_S)
+        self.cluster.run_until(
+            lambda: self.cluster.in_force(revision), PROPAGATION_TIMEOUT_S
+        )
         for node in self.nodes.values():
             status = node.core.status.status
             self.cluster.run_until(lambda s=status: s().in_force_everywhere, 4.0)
 
 
-class CutOffTest(ClusterCase):
-    """Guards against a cut-off domain that misses a change or goes back."""
+class PartitionTest(ClusterCase):
+    """Guards against a partitioned domain that misses or reverts a change."""
 
-    def test_domain_catches_up_after_a_cut(self):
+    def test_domain_catches_up_after_a_partition(self):
         self.cluster.start_all()
-        self.cluster.cut(("m1-a", "m1-b"))
+        self.cluster.partition(("m1-a", "m1-b"))
         for name in ("m1-a", "m1-b"):
             self.nodes[name].store.down = True
         revision = self.change("k1-a")
         others = [name for name in self.nodes if not name.startswith("m1")]
         self.cluster.run_until(
-            lambda: self.cluster.in_force(revision, others), EVERYWHERE_S
+            lambda: self.cluster.in_force(revision, others), PROPAGATION_TIMEOUT_S
         )
         self.cluster.run(10.0)
         self.assertFalse(self.nodes["k1-a"].core.status.status().in_force_everywhere)
-        self.cluster.cuts.clear()
-        self.cluster.run_until(lambda: self.cluster.in_force(revision), EVERYWHERE_S)
+        self.cluster.partitions.clear()
+        self.cluster.run_until(
+            lambda: self.cluster.in_force(revision), PROPAGATION_TIMEOUT_S
+        )
 
     def test_a_lower_revision_from_the_platform_is_ignored(self):
         self.cluster.start_all()
@@ -114,7 +118,7 @@
 
 
 class StartTest(ClusterCase):
-    """Guards against a start with an older revision, or without any."""
+    """Guards against a control that starts with an older revision or without any."""
 
     def test_not_ready_without_platform_and_peers(self):
         self.nodes["k1-a"].store.down = True
@@ -126,25 +130,25 @@
         self.cluster.run(10.0)
         self.assertTrue(self.nodes["k1-a"].core.synchronised)
 
-    def test_two_empty_controls_do_not_confirm_each_other(self):
+    def test_two_controls_without_data_do_not_synchronise(self):
         for name in ("k1-a", "k1-b"):
             self.nodes[name].store.down = True
             self.cluster.start(name)
         self.cluster.run(10.0)
         self.assertFalse(self.nodes["k1-a"].core.synchronised)
 
-    def test_a_peer_that_has_only_read_the_deployment_is_not_enough(self):
-        planned = DeploymentRecord(deployment(self.cluster.domains))
+    def test_an_unsynchronised_peer_is_not_enough(self):
+        deployment_record = DeploymentRecord(deployment(self.cluster.domains))
         for name in ("k1-a", "k1-b"):
             self.nodes[name].store.down = True
             self.cluster.start(name)
             core = self.nodes[name].core
-            core.replica.write(RecordKind.DEPLOYMENT, MAIN, 1, planned)
+            core.replica.write(RecordKind.DEPLOYMENT, MAIN, 1, deployment_record)
         self.cluster.run(10.0)
         self.assertFalse(self.nodes["k1-a"].core.synchronised)
         self.assertFalse(self.nodes["k1-b"].core.synchronised)
 
-    def test_a_peer_is_enough(self):
+    def test_synchronises_from_a_peer(self):
         self.cluster.start_all()
         revision = self.change("k1-a")
         self.cluster.kill("m1-a")
@@ -159,7 +163,7 @@
         self.cluster.run(1.0)
         self.assertEqual(3, len(node.entry.table.servers))
 
-    def test_the_newer_revision_of_a_peer_wins_over_the_platform(self):
+    def test_newer_revision_of_a_peer_replaces_that_of_the_platform(self):
         self.cluster.start_all()
         self.change("k1-a", "c1")
         first = bytes(self.cluster.memory.objects["rules", "main"].value)
@@ -173,8 +177,8 @@
         self.assertEqual(2, node.core.rules.revision)
 
 
-class WatchDutyTest(ClusterCase):
-    """Guards against a domain without a watch, and against one watch per control."""
+class WatchTest(ClusterCase):
+    """Guards against domains without a watch, and against a watch by every control."""
 
     def watching(self, domain="k1"):
         return [
@@ -188,11 +192,11 @@
         self.assertEqual(["k1-a"], self.watching())
         self.assertEqual(["m1-a"], self.watching("m1"))
 
-    def test_takeover_when_silent(self):
+    def test_takeover_when_the_control_stops(self):
         self.cluster.start_all()
         self.cluster.kill("k1-a")
-        spent = self.cluster.run_until(lambda: self.watching() == ["k1-b"], 4.0)
-        self.assertGreater(spent, 1.9)
+        elapsed_s = self.cluster.run_until(lambda: self.watching() == ["k1-b"], 4.0)
+        self.assertGreater(elapsed_s, 1.9)
         self.cluster.start("k1-a")
         self.cluster.run(3.0)
         self.assertEqual(["k1-a"], self.watching())
@@ -206,18 +210,18 @@
 
 
 class StatusTest(ClusterCase):
-    """Guards against a report of "in force everywhere" that is not true."""
+    """Guards against a status that wrongly reports "in force everywhere"."""
 
     def test_waits_for_each_entry_process(self):
         self.cluster.start_all()
-        self.nodes["m1-b"].entry.deaf = True
+        self.nodes["m1-b"].entry.paused = True
         self.change("k1-a")
         self.cluster.run(6.0)
         for node in self.nodes.values():
             status = node.core.status.status()
             self.assertFalse(status.in_force_everywhere)
             self.assertEqual(("m1-b",), status.waiting_for)
-        self.nodes["m1-b"].entry.deaf = False
+        self.nodes["m1-b"].entry.paused = False
         self.cluster.run(4.0)
         for node in self.nodes.values():
             self.assertTrue(node.core.status.status().in_force_everywhere)
@@ -240,7 +244,7 @@
 
 
 class SuspectsTest(ClusterCase):
-    """Guards against a crashing request that is tried in the next domain."""
+    """Guards against a crashing request that is retried in the next domain."""
 
     def test_reaches_all_domains(self):
         self.cluster.start_all()
@@ -250,7 +254,7 @@
             lambda: all(table.suspects for table in self.cluster.tables()), 1.0
         )
 
-    def test_success_lifts_it_everywhere(self):
+    def test_success_clears_it_everywhere(self):
         self.test_reaches_all_domains()
         self.nodes["k1-b"].entry.suspects = ()
         self.nodes["m1-a"].core.suspects.clear("f1")
@@ -259,7 +263,7 @@
 
 
 class ClientMapTest(ClusterCase):
-    """Guards against an entry that gets an incomplete or mixed client map."""
+    """Guards against an incomplete client map, or one with shards of two versions."""
 
     def write(self, number, body):
         self.cluster.write("clientmap", f"{number:04d}", ClientMapObject(body))
@@ -282,7 +286,7 @@
             self.assertEqual([b"a", b"c"], self.shards(name))
             self.assertEqual(version, node.entry.table.client_map_version)
 
-    def test_a_start_without_platform_gets_it_from_peers(self):
+    def test_start_without_platform_fetches_it_from_peers(self):
         self.write(0, b"a")
         self.cluster.start_all()
         self.cluster.kill("v1-a")
@@ -298,15 +302,15 @@
         self.assertEqual((0, b""), (answer.shards, answer.body))
 
 
-class LeavingTest(TestWithScenarios, ClusterCase):
-    """Guards against new work on a server that leaves, whoever noticed it first."""
+class DrainingServerTest(TestWithScenarios, ClusterCase):
+    """Guards against new requests to a draining server, however that is reported."""
 
     server = "rides-k1-1"
     scenarios = [
         (source, {"source": source}) for source in ("list", "health", "entry", "rule")
     ]
 
-    def leave(self):
+    def report_draining(self):
         if self.source == "list":
             self.cluster.list_server(self.server, "k1", LifeState.LEAVING)
         elif self.source == "health":
@@ -332,15 +336,15 @@
             if view.name == self.server
         ]
 
-    def test_known_to_the_domain_in_time(self):
+    def test_reaches_the_domain_in_time(self):
         self.cluster.start_all()
         self.assertEqual([ServerState.READY] * 2, self.states())
-        self.leave()
+        self.report_draining()
         self.cluster.run_until(lambda: self.states() == [ServerState.DRAINING] * 2, 3.0)
 
 
 class RandomFaultsTest(TestWithScenarios, ClusterCase):
-    """Guards against revisions that go down, or differ after all faults ended."""
+    """Guards against revisions that decrease, or differ after all faults have ended."""
 
     scenarios = [(f"seed {seed}", {"seed": seed}) for seed in range(6)]
 
@@ -348,9 +352,9 @@
         random = Random(self.seed)
         self.cluster.start_all()
         for number in range(12):
-            self.fault(random, f"c{number}")
+            self.inject_fault(random, f"c{number}")
             self.cluster.run(random.uniform(0.2, 3.0))
-        self.cluster.cuts.clear()
+        self.cluster.partitions.clear()
         for name, node in self.nodes.items():
             node.store.down = False
             if node.core is None:
@@ -361,14 +365,14 @@
         for node in self.nodes.values():
             self.assertTrue(node.core.status.status().in_force_everywhere)
 
-    def fault(self, random, change_id):
+    def inject_fault(self, random, change_id):
         name = random.choice(sorted(self.nodes))
         node = self.nodes[name]
         kind = random.choice(["cut", "heal", "platform", "restart", "edit", "edit"])
         if kind == "cut":
-            self.cluster.cut((name,))
+            self.cluster.partition((name,))
         elif kind == "heal":
-            self.cluster.cuts.clear()
+            self.cluster.partitions.clear()
         elif kind == "platform":
             node.store.down = not node.store.down
         elif kind == "restart" and node.core is not None:
--- a/ebonybend/peers/http_transport.py
+++ b/ebonybend/peers/http_transport.py
@@ -1,4 +1,4 @@
-"""Carry exchanges over HTTP with MessagePack bodies."""
+"""Send and answer exchanges over HTTP with MessagePack bodies."""
 
 from collections.abc import Awaitable, Callable
 from urllib.parse import quote
@@ -13,17 +13,17 @@
 
 EXCHANGE_PATH = "/peer/exchange"
 SHARD_PATH = "/peer/clientmap"
-# Three round trips between the most distant regions, and some load.
+# Enough for three round trips between the most distant regions under some load.
 EXCHANGE_TIMEOUT_S = 1.0
 MAX_EXCHANGE_BYTES = 8 << 20
 # A shard is below 1 MB; another region sends it at a few MB/s.
 SHARD_TIMEOUT_S = 5.0
 CONTENT_TYPE = "application/msgpack"
-HEADERS = {"Content-Type": CONTENT_TYPE}
+MSGPACK_HEADERS = {"Content-Type": CONTENT_TYPE}
 
 
-class HttpPeers:
-    """Send exchanges to the peer port of other controls."""
+class HttpPeerTransport:
+    """Send exchanges to the peer ports of other controls."""
 
     def __init__(self, http: HttpClient):
         self.http = http
@@ -34,7 +34,7 @@
     async def send(
         self, address: str, request: ExchangeRequest
     ) -> ExchangeReply | None:
-        """Return the reply, or None when there was none."""
+        """Return the reply, or None if there was none."""
         body = pack(request)
         answer = await self._request(
             "POST", address, EXCHANGE_PATH, body, EXCHANGE_TIMEOUT_S
@@ -56,7 +56,7 @@
         self, method: str, address: str, path: str, body: bytes, timeout_s: float
     ) -> bytes | None:
         self.peer_bytes_sent += len(body)
-        headers = HEADERS if body else {}
+        headers = MSGPACK_HEADERS if body else {}
         try:
             answer = await self.http.request(
                 method, address, path, headers, body, timeout_s, MAX_EXCHANGE_BYTES
@@ -73,14 +73,14 @@
     def __init__(
         self,
         exchange: PeerExchange,
-        shard: Callable[[str, int], bytes | None],
-        informed: Callable[[], Awaitable[None]],
+        find_shard: Callable[[str, int], bytes | None],
+        wait_until_informed: Callable[[], Awaitable[None]],
     ):
         self.exchange = exchange
-        # Returns once this instance acts on what the exchange has brought.
-        self.informed = informed
+        # Returns once the local entry process has the exchange's suspects.
+        self.wait_until_informed = wait_until_informed
         # Returns a shard of the client map by name and version.
-        self.shard = shard
+        self.find_shard = find_shard
         self.router = Router()
         self.router.add("POST", EXCHANGE_PATH, self.answer_exchange)
         self.router.add("GET", SHARD_PATH, self.answer_shard)
@@ -90,13 +90,13 @@
         version = request.argument("version") or ""
         body = None
         if version.isascii() and version.isdigit():
-            body = self.shard(request.argument("name") or "", int(version))
+            body = self.find_shard(request.argument("name") or "", int(version))
         if body is None:
             raise SteeringError(ErrorKind.UNKNOWN_PATH, "no such shard here")
-        return OutgoingAnswer(200, body, HEADERS)
+        return OutgoingAnswer(200, body, MSGPACK_HEADERS)
 
     async def answer_exchange(self, request: IncomingRequest) -> OutgoingAnswer:
         """Answer POST /peer/exchange."""
         reply = self.exchange.answer(unpack(request.body, ExchangeRequest))
-        await self.informed()
-        return OutgoingAnswer(200, pack(reply), HEADERS)
+        await self.wait_until_informed()
+        return OutgoingAnswer(200, pack(reply), MSGPACK_HEADERS)
