--- a/ebonybend/entry/__init__.py
+++ b/ebonybend/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry process: look-ups, forwarding, and what entries exchange."""
+"""The entry process: lookups, request forwarding, messages between entries."""
 
 from ebonybend.entry.service import EntryService, run_entry
 
--- a/ebonybend/entry/answers.py
+++ b/ebonybend/entry/answers.py
@@ -1,4 +1,4 @@
-"""Turn served answers and errors into HTTP answers, and back."""
+"""Convert served answers and errors to HTTP answers and back."""
 
 from ebonybend.entry.requests import ServedAnswer
 from ebonybend.errors import ANSWERS, ErrorKind, Outcome, SteeringError
@@ -11,7 +11,7 @@
 def outgoing(
     answer: ServedAnswer, request_id: str, pacer: Pacer | None = None
 ) -> OutgoingAnswer:
-    """Return the HTTP answer that passes on a backend server's answer."""
+    """Return a backend server's answer as an HTTP answer to the client."""
     headers = {
         "Ebonybend-Outcome": ANSWERED,
         "Request-Id": request_id,
@@ -24,7 +24,7 @@
 
 
 def from_entry(answer: HttpAnswer) -> ServedAnswer:
-    """Return the answer that another entry passed on; raise what it refused with."""
+    """Return the answer in another entry's HTTP answer; raise the error it reports."""
     kind = answer.header("Ebonybend-Error")
     if kind is not None:
         raise _refusal(answer, kind)
@@ -46,7 +46,7 @@
         kind = ErrorKind.OUTCOME_UNKNOWN
     stated = answer.header("Ebonybend-Outcome")
     if stated != ANSWERS[kind].outcome.value:
-        # A kind that doesn't fit its outcome comes from another version.
+        # An entry of another version may combine this kind with another outcome.
         kind = ErrorKind.OUTCOME_UNKNOWN
     retry_after = answer.header("Retry-After-Ms") or ""
     wait = int(retry_after) if retry_after.isdigit() else None
--- a/ebonybend/entry/attempts.py
+++ b/ebonybend/entry/attempts.py
@@ -1,4 +1,4 @@
-"""The results of attempts to have a request answered."""
+"""Results of the attempts to get a request answered."""
 
 from attrs import define, field, frozen
 from returns.result import Failure, Result
@@ -6,9 +6,9 @@
 from ebonybend.entry.requests import ServedAnswer
 from ebonybend.errors import ErrorKind, Outcome, SteeringError
 
-# The first attempt and at most two more.
+# The first attempt and at most two retries.
 MAX_SENDS = 3
-# Refusals after which another place may answer.
+# Refusals after which another server or failure domain may still answer.
 ELSEWHERE = frozenset(
     {
         ErrorKind.OVERLOADED,
@@ -25,22 +25,22 @@
 
 @frozen
 class AttemptFailure:
-    """Why an attempt gave no answer."""
+    """The reason why an attempt produced no answer."""
 
     error: SteeringError
-    # The attempt used a backend server or another entry; a refusal inside this
-    # process needs no retry token.
+    # Whether the attempt reached out to a backend server or another entry. A retry
+    # after a refusal inside this process takes no token of the retry budget.
     sent: bool
-    # Another entry gave the error, so it holds for that entry's whole handling.
+    # Whether another entry reported the error; it then covers all attempts made there.
     stated: bool = False
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether the request may have run."""
+        """Return whether the request may have run."""
         return self.error.answer.outcome is Outcome.UNKNOWN
 
     def as_failure(self) -> "Attempt":
-        """Return this as an attempt."""
+        """Return the failure as the result of an attempt."""
         return Failure(self)
 
 
@@ -48,35 +48,35 @@
 
 
 def refused(kind: ErrorKind, message: str, retry_ms: int | None = None) -> Attempt:
-    """Return the failure of an attempt that did not leave this process."""
+    """Return the result of an attempt that was refused inside this process."""
     return Failure(AttemptFailure(SteeringError(kind, message, retry_ms), False))
 
 
 def failed(kind: ErrorKind, message: str) -> Attempt:
-    """Return the failure of an attempt that used another process."""
+    """Return the result of an attempt that failed at another process."""
     return Failure(AttemptFailure(SteeringError(kind, message), True))
 
 
 @define
 class Search:
-    """What the attempts for one request have tried and found."""
+    """The attempts made for one request: what was tried and how it failed."""
 
     servers: set[str] = field(factory=set)
     instances: set[str] = field(factory=set)
-    # Failure domains that are not tried again.
+    # Failure domains that must not be tried again.
     domains: set[str] = field(factory=set)
-    # Region that a shift sends the request to, or None.
+    # Target region of a shift rule that applies to the request, or None.
     shifted_to: str | None = None
     sends: int = 0
-    # No place is left to try.
+    # Whether no server or failure domain remains to be tried.
     exhausted: bool = False
     last: AttemptFailure | None = None
     last_sent: AttemptFailure | None = None
-    # The last attempt that may have run the request.
+    # The last failure after which the request may have run.
     doubtful: AttemptFailure | None = None
 
     def note(self, failure: AttemptFailure) -> None:
-        """Take in a failed attempt."""
+        """Record a failed attempt."""
         self.last = failure
         if failure.sent:
             self.sends += 1
@@ -85,9 +85,9 @@
             self.doubtful = failure
 
     def conclusion(self) -> AttemptFailure:
-        """Return what to answer.
+        """Return the failure to report to the client.
 
-        A doubtful attempt goes before any refusal, and what another process said goes
-        before what this one found when no place was left.
+        A failure after which the request may have run takes precedence over refusals,
+        and a failure at another process over a refusal inside this one.
         """
         return self.doubtful or self.last_sent or self.last
--- a/ebonybend/entry/budgets.py
+++ b/ebonybend/entry/budgets.py
@@ -1,4 +1,4 @@
-"""Caps, shifts and link budgets for traffic to other regions."""
+"""Caps, shifts and link budgets for the traffic to other regions."""
 
 from random import Random
 from typing import Any
@@ -14,9 +14,9 @@
 from ebonybend.steering.shares import CapShare, Ramp
 from ebonybend.steering.table import ShiftUsage, Table
 
-# Headers of a request or an answer between entries; measured at 250 to 400 bytes.
+# The headers of a request or answer between entries take 250 to 400 bytes.
 HEADER_BYTES = 400
-# Fewer answers in one period say nothing about the receiver.
+# Fewer answers in a period say too little about the target region to adjust a ramp.
 MIN_ANSWERS_FOR_RAMP = 5
 CAP_RETRY_AFTER_MS = 1000
 LINK_RETRY_AFTER_MS = 200
@@ -25,7 +25,7 @@
 
 @define
 class RampAnswers:
-    """What the receiver of a shift answered in one period."""
+    """Answers from the target region of a shift in one period."""
 
     answered: int = 0
     refused: int = 0
@@ -34,7 +34,7 @@
 
 @define(eq=False)
 class Bound:
-    """One shift or cap with this sender's share."""
+    """The rate bound of one shift or cap rule, with this entry's share of it."""
 
     rule: Rule
     share: CapShare
@@ -42,13 +42,13 @@
     answers: RampAnswers = field(factory=RampAnswers)
 
     def covers(self, service: str, region: str) -> bool:
-        """Tell whether the bound counts a service's requests to a region."""
+        """Return whether the bound applies to a service's requests to a region."""
         body = self.rule.body
         return body.target == region and body.service in (None, service)
 
 
 class RegionBudgets:
-    """All bounds on what this entry sends to other regions."""
+    """All limits on the requests and bytes that this entry sends to other regions."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         for rule in (*self.table_state.rules.shifts, *self.table_state.rules.caps):
             if rule.body.source != self.table_state.region:
                 continue
-            # A changed cap or end keeps the key, and so the log of sends.
+            # A rule whose cap or end time changes keeps its key and so its send window.
             name = rule_key(rule.body)
             known = rules.get(name)
             if known is None or _cap(rule) < _cap(known):
@@ -91,7 +91,7 @@
                 self._shifts[service] = (*self._shifts.get(service, ()), bound)
 
     def _bound(self, name: str, rule: Rule, names: tuple[str, ...]) -> Bound:
-        """Return a new bound, or the known one with the rule's values."""
+        """Return a new bound, or the existing one updated from the rule."""
         known = self.bounds.get(name)
         cap = _cap(rule)
         if known is None:
@@ -124,7 +124,7 @@
         }
 
     def tick(self) -> None:
-        """Step the ramps; called by the heartbeat loop."""
+        """Advance the ramps; called by the heartbeat loop."""
         table = self.table_state.table
         if table is None:
             return
@@ -143,7 +143,7 @@
         bound.answers = RampAnswers()
 
     def shift_target(self, service: str) -> str | None:
-        """Return the region that a shift moves this request to, or None."""
+        """Return the region to which a shift moves this request, or None."""
         shifts = self._shifts.get(service)
         if not shifts:
             return None
@@ -155,7 +155,7 @@
         return None
 
     def admit(self, service: str, region: str, size: int) -> SteeringError | None:
-        """Charge a request to a region's caps and link; return why it can't go."""
+        """Charge a request to a region's caps and link; return an error if full."""
         bounds = [b for b in self.bounds.values() if b.covers(service, region)]
         size += HEADER_BYTES
         link = self.links.get(region)
@@ -165,7 +165,7 @@
             )
         full = [b for b in bounds if b.share.usage().sent >= b.share.units()]
         for bound in full:
-            # A refused take is what tells the lending loop of a shortage.
+            # The share counts the refusal; the lease loop reads that count as demand.
             bound.share.take()
         if full:
             return SteeringError(
@@ -180,7 +180,7 @@
     def observe(
         self, service: str, region: str, latency_s: float, answered: bool
     ) -> None:
-        """Take in how a region answered a request."""
+        """Record the result and latency of a request to a region under a shift."""
         for bound in self._shifts.get(service, ()):
             if bound.rule.body.target == region:
                 bound.answers.answered += answered
@@ -188,23 +188,23 @@
                 bound.answers.latency_s += latency_s if answered else 0.0
 
     def link_utilisation(self, region: str) -> float:
-        """Return the used part of the link budget to a region, 0 to 1."""
+        """Return the used fraction of the link budget to a region, 0 to 1."""
         link = self.links.get(region)
         return link.utilisation() if link is not None else 0.0
 
     def pacer(self, region: str | None) -> "LinkPacer | None":
-        """Return the pacer for answers to a region, or None inside the own one."""
+        """Return the pacer for answers to a region, or None without a link to it."""
         link = self.links.get(region or "")
         return LinkPacer(self.reactor, link) if link is not None else None
 
     def usage(self) -> tuple[ShiftUsage, ...]:
-        """Return what this entry sent under each rule in the last window."""
+        """Return the requests sent under each rule in the last window."""
         usages = ((b.rule.text, b.share.usage()) for b in self.bounds.values())
         return tuple(ShiftUsage(text, use.sent, use.units) for text, use in usages)
 
 
 class LinkPacer:
-    """Charge the chunks of an answer to a link's budget."""
+    """Pace an answer by charging its chunks to a link's byte budget."""
 
     def __init__(self, reactor: Any, link: LinkBudget):
         self.reactor = reactor
@@ -213,11 +213,11 @@
         self._overhead = HEADER_BYTES
 
     async def admit(self, size: int) -> None:
-        """Return when a chunk may be sent."""
+        """Wait until a chunk may be sent."""
         size = min(size + self._overhead, self.link.budget)
         self._overhead = 0
         while not self.link.charge(size):
-            # The budget may be taken by another answer at the end of the delay.
+            # Another answer may have used up the budget by the end of the delay.
             wait_s = max(self.link.delay_for(size), 0.01)
             await deferLater(self.reactor, wait_s)
 
--- a/ebonybend/entry/client_maps.py
+++ b/ebonybend/entry/client_maps.py
@@ -1,4 +1,4 @@
-"""Fetch the client map from the control, shard by shard."""
+"""Fetch the client map from the control process, shard by shard."""
 
 from collections.abc import Awaitable, Callable
 
@@ -36,7 +36,7 @@
         self.ranker = LookupRanker(table, self.client_map, drained, self.ranker)
 
     async def _update(self, version: int) -> None:
-        """Replace the map; on any failure the next table starts again."""
+        """Replace the client map; after a failure, the next table triggers a retry."""
         try:
             shards = await self._shards(version)
             if shards is None:
--- a/ebonybend/entry/control_client.py
+++ b/ebonybend/entry/control_client.py
@@ -1,4 +1,4 @@
-"""The client of this instance's control process."""
+"""gRPC client of this instance's control process."""
 
 from asyncio import CancelledError, ensure_future
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 CLIENT_MAP_METHOD = "/ebonybend.Control/ClientMap"
 REPORT_INTERVAL_S = 0.5
 EXCHANGE_TIMEOUT_S = 1.0
-# The control holds a call for a notice up to 5 s.
+# The control answers a long-polling Notice call after 5 s at the latest.
 NOTICE_TIMEOUT_S = 6.0
 # A table of 520 nodes is larger than gRPC's default limit of 4 MB.
 MAX_MESSAGE_BYTES = 64 << 20
@@ -35,15 +35,15 @@
     ("grpc.enable_http_proxy", 0),
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
     ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
-    # The default back-off grows to two minutes, so a restarted control would be
-    # found late.
+    # The default backoff grows to two minutes, which would delay the reconnection to a
+    # restarted control.
     ("grpc.initial_reconnect_backoff_ms", 250),
     ("grpc.max_reconnect_backoff_ms", 1000),
 )
 
 
 class ControlClient:
-    """Send reports and hand the replies to a receiver."""
+    """Send reports to the control and pass on its replies."""
 
     def __init__(
         self,
@@ -72,14 +72,14 @@
         self._tasks.start(self._follow_notices())
 
     async def _follow_notices(self) -> None:
-        """Report at once whenever the control has something that can't wait."""
+        """Long-poll for notices; send a report at once for each new one."""
         taken = 0
         while not self._tasks.stopped and self.channel is not None:
             call = self._notice(NoticeRequest(taken), timeout=NOTICE_TIMEOUT_S)
             try:
                 reply = await Deferred.fromFuture(ensure_future(_result(call)))
             except (RpcError, SteeringError):
-                # The regular reports log that the control can't be reached.
+                # The periodic report logs that the control is unreachable.
                 await self._tasks.sleep(REPORT_INTERVAL_S)
                 continue
             if reply.told != taken:
@@ -113,7 +113,7 @@
         self._running = None
 
     def report_now(self) -> Deferred[bool]:
-        """Send a report at once; the result tells whether the control took it."""
+        """Send a report at once; the result is whether the control answered it."""
         return Deferred.fromCoroutine(self._report())
 
     async def _report(self) -> bool:
@@ -135,7 +135,7 @@
             get_logger().info("control_reachable", reachable=reachable, reason=reason)
 
     async def fetch_shard(self, version: int, shard: int) -> ClientMapShard | None:
-        """Return a shard of the client map, or None if the control has none."""
+        """Return a shard of the client map, or None if the call fails."""
         request = ClientMapRequest(version, shard)
         call = self._client_map(request, timeout=EXCHANGE_TIMEOUT_S)
         try:
@@ -145,7 +145,7 @@
 
 
 async def _result(call: Any) -> Any:
-    """Await a call; a call that ends with its channel is an error like any other."""
+    """Await a call; raise SteeringError if the channel was closed meanwhile."""
     try:
         return await call
     except CancelledError as error:
--- a/ebonybend/entry/data_plane.py
+++ b/ebonybend/entry/data_plane.py
@@ -1,4 +1,4 @@
-"""Wire the decision modules of one entry process."""
+"""Construct and connect the components that handle requests in one entry process."""
 
 from collections.abc import Callable
 from random import Random
@@ -34,7 +34,7 @@
 
 
 class DataPlane:
-    """All parts that decide about requests; needs a reactor but opens no port."""
+    """All components that handle requests; uses a reactor but opens no port."""
 
     def __init__(
         self,
@@ -110,7 +110,7 @@
             self.suspects.pardon(pardoned)
 
     def set_server_states(self, table: Table) -> None:
-        """Hand the states of the servers to the admission."""
+        """Apply the server states of a table to the admission control."""
         for view in table.servers:
             state = self.table_state.server_state(view)
             self.admission.set_state(view.name, state)
--- a/ebonybend/entry/dispatch.py
+++ b/ebonybend/entry/dispatch.py
@@ -1,4 +1,4 @@
-"""Run requests on backend servers of the own failure domain."""
+"""Run requests on backend servers of this entry's failure domain."""
 
 from typing import Any
 
@@ -29,25 +29,25 @@
 from ebonybend.world import ServerState
 
 MS = 1000.0
-# A write whose deadline has passed is listened to for this long, so that a resend
-# under its key gets the answer; the caller is answered at its deadline.
+# The answer to a write is awaited this long past the deadline, so that a retry under
+# the same key gets it. The client gets its own answer at the deadline.
 WRITE_GRACE_S = 0.25
-# A server sees a closed connection, and cancels, only after the one-way latency inside
-# a failure domain. The slot stays in use for that time, so that a new request doesn't
-# run beside the cancelled one.
+# A server sees a closed connection, and cancels the request, only after the one-way
+# latency within a failure domain. The slot stays occupied for that time, so that no
+# new request runs on it together with the cancelled one.
 ABANDONED_SLOT_S = 0.1
 MAX_ANSWER_BYTES = 64 << 20
 SHED_RETRY_AFTER_MS = 100
-# A server's 504 this close to the deadline says that it gave up at the deadline, so it
-# is no answer to the request. Covers the rounding and the way back.
+# A 504 this close to the deadline means that the server gave up at the deadline, so it
+# is not an answer to the request. Covers rounding and the network delay of the answer.
 DEADLINE_SLACK_S = 0.05
 
 
 @frozen
 class RequestBounds:
-    """The time that a request may still take."""
+    """The remaining time of a request."""
 
-    # Passed on in Deadline-Ms.
+    # Value of the Deadline-Ms header.
     deadline_ms: int
     timeout_s: float
 
@@ -55,9 +55,9 @@
 def bounds(
     request: SteeredRequest, now: float, way_ms: float = 0.0
 ) -> RequestBounds | None:
-    """Return the bounds at the moment of dispatch, or None if it is too late.
+    """Return the limits at dispatch, or None if the deadline can't be met.
 
-    The way to another entry and back, in milliseconds, is taken off its deadline.
+    The round trip to another entry, in milliseconds, is subtracted from its deadline.
     """
     remaining_s = request.deadline - now
     deadline_ms = int(remaining_s * MS - way_ms)
@@ -68,7 +68,7 @@
 
 
 def request_headers(request: SteeredRequest, deadline_ms: int) -> dict[str, str]:
-    """Return the headers that are passed on with a request."""
+    """Return the headers to forward with a request."""
     headers = {"Deadline-Ms": str(deadline_ms), "Request-Id": request.request_id}
     if request.key is not None:
         headers["Idempotency-Key"] = request.key
@@ -78,7 +78,7 @@
 
 
 class LocalDispatcher:
-    """Choose a backend server, take a slot and run a request on it."""
+    """Choose a backend server, acquire a slot and run a request on it."""
 
     def __init__(
         self,
@@ -99,7 +99,7 @@
         self.running = running
 
     def pick(self, request: SteeredRequest, tried: set[str]) -> ServerView | None:
-        """Return a server with a free slot for a request, or None."""
+        """Return a server with a free slot that may run a request, or None."""
         candidates = self.table_state.servers.get(request.service, ())
         if request.alone:
             candidates = self._idle(candidates)
@@ -108,14 +108,17 @@
         return self.chooser.choose(candidates, exclude, weights.headroom_share)
 
     def _idle(self, candidates: tuple[ServerView, ...]) -> tuple[ServerView, ...]:
-        """Return the servers that run nothing, as far as this entry can tell."""
+        """Return the servers on which this entry has no request in flight.
+
+        If some of them also report no requests in flight, return only those.
+        """
         idle = tuple(v for v in candidates if self.running.idle(v.name))
         return tuple(v for v in idle if not v.reported_in_flight) or idle
 
     async def run(
         self, request: SteeredRequest, server: ServerView | None, tried: set[str]
     ) -> Attempt:
-        """Run a request on the server that was picked for it."""
+        """Run a request on the chosen server."""
         if server is None:
             return refused(
                 ErrorKind.OVERLOADED, "no free slot in the domain", SHED_RETRY_AFTER_MS
@@ -133,10 +136,10 @@
         return await self._run_on(server, request, within)
 
     def _too_late(self, server: str, within: RequestBounds) -> bool:
-        """Return whether a request would waste the last free slot of a server.
+        """Return whether a request would likely time out on a server's last free slot.
 
-        At twice the capacity, requests that were cut off at their deadlines took a
-        quarter of the slots' time. With slots to spare a short request may try.
+        At twice the capacity, requests that were cancelled at their deadlines took a
+        quarter of the slots' time. While more slots are free, a short request may run.
         """
         busy = self.admission.ledger.in_flight(server) > 0
         if not busy or self.admission.free(server) > 1:
@@ -170,8 +173,8 @@
                 request.body,
                 within.timeout_s,
                 MAX_ANSWER_BYTES,
-                # How long a backend server keeps idle connections isn't known, so a
-                # write takes a new connection.
+                # A backend server may close an idle connection at any time, so a write
+                # opens a new one.
                 Reuse.ANY if request.idempotent else Reuse.NEVER,
                 lambda: self.clock.monotonic() < request.deadline,
             )
@@ -235,9 +238,9 @@
     def _abandon(
         self, server: ServerView, result: ServerResult | None, started: float
     ) -> None:
-        """Give the slot back after the server has seen the end of the connection."""
+        """Release the slot once the server has seen that the connection is closed."""
         if result is None:
-            # The caller has gone; that says nothing about the server.
+            # The client disconnected; that is no failure of the server.
             end = self.admission.ledger.finished
             self.reactor.callLater(ABANDONED_SLOT_S, end, server.name)
             return
--- a/ebonybend/entry/domains.py
+++ b/ebonybend/entry/domains.py
@@ -1,4 +1,4 @@
-"""Describe the failure domains that can answer a service."""
+"""Describe the failure domains that can serve a service."""
 
 from collections.abc import Callable
 
@@ -10,15 +10,15 @@
 from ebonybend.steering.table import DomainView, ServiceLoad, Table
 from ebonybend.steering.weights import EQUAL_WEIGHTS
 
-# The options of a service are built once in this time. Requests of the same time
-# differ only in this entry's own load, which the chooser counts itself.
+# The options of a service are cached for this time. Within it, only this entry's own
+# load changes, which the chooser counts itself.
 OPTIONS_LIFETIME_S = 0.02
-# Added to the own domain's name for the slots that its other entries own.
+# Suffix of the option for the slots that other entries of the own domain own.
 SIBLINGS = "/siblings"
 
 
 class DomainOptions:
-    """Build the query for the choice of a failure domain."""
+    """Build the queries from which a failure domain is chosen."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         return self._domains_of.get(region, frozenset())
 
     def query(self, service: str, search: Search) -> DomainQuery:
-        """Return the query for a service without the domains that a search excludes."""
+        """Return the query for a service, without a request's excluded domains."""
         base = self._base(service)
         exclude = search.domains
         if search.shifted_to is not None:
@@ -120,7 +120,7 @@
         )
 
     def _own_option(self, service: str, table: Table) -> DomainOption:
-        """Describe the own domain by what this entry owns, which is known exactly."""
+        """Describe this entry's own slots, whose load is known exactly."""
         views = self.table_state.servers.get(service, ())
         ledger = self.admission.ledger
         limit = sum(self.admission.limit(view.name) for view in views)
@@ -141,7 +141,7 @@
     def _sibling_option(
         self, service: str, table: Table, own: DomainOption
     ) -> DomainOption | None:
-        """Describe the slots of the own domain that its other entries own."""
+        """Describe the slots that other entries of the own domain own."""
         name, own_name = table.failure_domain, self.table_state.own
         view = next((d for d in table.domains if d.name == name), None)
         load = _load_of(view, service) if view else None
--- a/ebonybend/entry/forwarder.py
+++ b/ebonybend/entry/forwarder.py
@@ -1,4 +1,4 @@
-"""Decide where a request runs, and try other places when that is safe."""
+"""Choose where a request runs, and retry it elsewhere when that is safe."""
 
 from typing import Protocol
 
@@ -25,7 +25,7 @@
 from ebonybend.steering.retries import RetryBudget
 from ebonybend.steering.suspects import SuspectRegistry, Verdict, fingerprint
 
-# The domain did not answer; another of its instances may.
+# Failures without an answer from the domain; another of its instances may answer.
 UNANSWERED = frozenset(
     {
         ErrorKind.BACKEND_UNREACHABLE,
@@ -36,25 +36,25 @@
 
 
 class Budgets(Protocol):
-    """What bounds the traffic to other regions."""
+    """Limits on the traffic to other regions."""
 
     def shift_target(self, service: str) -> str | None:
-        """Return the region that a shift moves this request to, or None."""
+        """Return the region to which a shift moves this request, or None."""
         ...
 
     def admit(self, service: str, region: str, size: int) -> SteeringError | None:
-        """Charge a request to a region's caps and link; return why it can't go."""
+        """Charge a request to a region's caps and link; return an error if full."""
         ...
 
     def observe(
         self, service: str, region: str, latency_s: float, answered: bool
     ) -> None:
-        """Take in how a region answered a request."""
+        """Record the result and latency of a request to a region under a shift."""
         ...
 
 
 class Forwarder:
-    """Find a place for a request and return its answer."""
+    """Forward a request to a backend server or another entry and return its answer."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
         self.metrics = metrics
 
     def check(self, request: SteeredRequest) -> None:
-        """Refuse a request that must not run; raise its kind."""
+        """Raise SteeringError for a request that must not run."""
         state = self.table_state
         if state.table is None:
             raise SteeringError(ErrorKind.NOT_READY, "no table from the control yet")
@@ -98,7 +98,7 @@
         self.check_suspect(request)
 
     def check_suspect(self, request: SteeredRequest) -> None:
-        """Refuse a request that crashes servers, or mark it to run alone."""
+        """Refuse a request that crashes servers, or mark it to run isolated."""
         request.fingerprint = fingerprint(
             request.service, request.method, request.path, request.body
         )
@@ -113,7 +113,7 @@
             request.verdict = verdict
 
     async def forward(self, request: SteeredRequest) -> Attempt:
-        """Return the answer, or the failure that says what is known."""
+        """Return the answer, or the failure to report after all attempts."""
         self.retries.first_attempt()
         search = Search(shifted_to=self.budgets.shift_target(request.service))
         while True:
@@ -125,7 +125,7 @@
                 return Failure(search.conclusion())
 
     async def run_local(self, request: SteeredRequest) -> Attempt:
-        """Return the answer of a server of the own failure domain."""
+        """Return the answer of a server in the own failure domain."""
         search = Search()
         while True:
             server = self.local.pick(request, search.servers)
@@ -138,7 +138,7 @@
                 return Failure(search.conclusion())
 
     def _goes_on(self, request: SteeredRequest, search: Search) -> bool:
-        """Tell whether another attempt is safe and worth its cost."""
+        """Return whether another attempt is safe and allowed by the retry budget."""
         failure = search.last
         if search.exhausted or request.caller_gone:
             return False
@@ -159,19 +159,19 @@
         return True
 
     def _may_run_again(self, request: SteeredRequest, kind: ErrorKind) -> bool:
-        """Mark a read that was lost to run alone, unless it is refused by now."""
+        """Mark a lost read to run isolated, unless its fingerprint is now refused."""
         verdict = self.suspects.verdict(request.fingerprint)
         if verdict is Verdict.REFUSE:
             return False
         if kind is ErrorKind.DEADLINE_EXCEEDED:
-            # A server that crashes ends its connection, so this is no suspicion.
+            # A crashing server closes its connection, so a timeout is no crash.
             return True
-        # The crash may be known only in the domain that ran the request.
+        # Other domains may not know of the crash yet.
         request.verdict = Verdict.ALONE
         return True
 
     async def _attempt(self, request: SteeredRequest, search: Search) -> Attempt:
-        """Try the best place that is left."""
+        """Run the request in the best remaining failure domain."""
         own = self.table_state.table.failure_domain
         server = self.local.pick(request, search.servers)
         if server is None:
@@ -186,12 +186,12 @@
 
     def _no_place(self, search: Search) -> Attempt:
         if search.shifted_to is not None:
-            # The receiving region has no room, so the request stays where it came in.
+            # The target region is full, so the request stays in its own region.
             search.shifted_to = None
             return refused(ErrorKind.OVERLOADED, "the shift's target has no room")
         search.exhausted = True
         if search.last is not None:
-            # The reason why the last place could not take it says more.
+            # The last failure is more specific than "no domain has a free slot".
             return AttemptFailure(search.last.error, False).as_failure()
         return refused(
             ErrorKind.OVERLOADED, "no domain has a free slot", SHED_RETRY_AFTER_MS
@@ -200,7 +200,7 @@
     async def _hop(
         self, request: SteeredRequest, search: Search, domain: str
     ) -> Attempt:
-        """Send a request to an entry of another failure domain."""
+        """Forward a request to another entry, in the own or another failure domain."""
         place = domain.removesuffix(SIBLINGS)
         instance = self.hops.pick(place, search.instances)
         if instance is None:
@@ -238,13 +238,13 @@
     def _learn(
         self, request: SteeredRequest, search: Search, domain: str, attempt: Attempt
     ) -> None:
-        """Adapt the window of a domain to its answer."""
+        """Adjust a domain's in-flight window to the result of an attempt."""
         if is_successful(attempt):
             self.domains.admitted(domain, request.service)
             return
         kind = attempt.failure().error.kind
         if kind in UNANSWERED:
-            # So that a domain that returns from a cut gets its traffic step by step.
+            # With a smaller window, traffic grows gradually once the domain recovers.
             self.domains.refused(domain, request.service)
         elif kind in ELSEWHERE:
             self.domains.refused(domain, request.service)
--- a/ebonybend/entry/heartbeats.py
+++ b/ebonybend/entry/heartbeats.py
@@ -18,7 +18,7 @@
 
 
 class HeartbeatLoop:
-    """Tick the slot ledger and send its heartbeats."""
+    """Update the slot ledger and send its heartbeats periodically."""
 
     def __init__(
         self,
@@ -35,7 +35,8 @@
         self.ledger = ledger
         self.peers = peers
         self.on_tick = on_tick
-        # Last known addresses; a dead peer's refused port is evidence of its death.
+        # Last known addresses, kept for members that are no longer in the table: a
+        # refused connection shows that their process has ended.
         self.addresses: dict[str, str] = {}
         self._waiting: set[str] = set()
         self._timer: Any = None
@@ -67,9 +68,9 @@
         self.send()
 
     def send(self, again: bool = False) -> Deferred[Any]:
-        """Send a heartbeat to every other member; fires when all have ended.
+        """Send a heartbeat to every other member; fires when all calls have ended.
 
-        A member that has not answered the last one gets another only if again is set.
+        A member with an unanswered heartbeat gets another one only if again is set.
         """
         names = [name for name in self.addresses if name != self.ledger.own]
         sends = [run_in_background(self._send(name, again)) for name in names]
--- a/ebonybend/entry/hops.py
+++ b/ebonybend/entry/hops.py
@@ -1,4 +1,4 @@
-"""Send requests to other entries: to another failure domain or to a key's owner."""
+"""Forward requests to other entries: to a failure domain or to a key's owner."""
 
 from random import Random
 
@@ -24,23 +24,23 @@
 MS = 1000.0
 HOP_PREFIX = "/peer/hop/"
 OWNER_PREFIX = "/peer/owner/"
-# The receiver runs the request on a server that runs nothing else.
+# The receiver must run the request on a server without other requests.
 ALONE_HEADER = "Ebonybend-Alone"
-# The sender's region, for the budget of the link back.
+# The sender's region; the answer is charged to the link to it.
 REGION_HEADER = "Ebonybend-Region"
-# An instance that answers nothing for this long and a round trip is paused or cut off.
-# A single slow request says nothing about it. The table shows a silent instance only
-# after seconds, and until then each hop there would wait in vain.
+# An instance that answers no request for this long and a round trip is paused or
+# unreachable; a single slow request is not enough. The table marks a silent instance
+# only after seconds, and until then each request forwarded to it would time out.
 SILENCE_S = 0.25
-# A read may run twice, so it waits for an instance for this part of the time that is
-# left, or for a multiple of the service's usual latency if that is longer.
+# A read may run twice, so it waits for an instance only for this fraction of the
+# remaining time, or for this multiple of the service's average latency if longer.
 READ_ATTEMPT_PART = 0.5
 READ_LATENCIES = 4.0
 LATENCY_GAIN = 0.2
 
 
 class HopClient:
-    """Send requests to other entries."""
+    """Forward requests to other entries."""
 
     def __init__(
         self, clock: Clock, http: HttpClient, table_state: TableState, random: Random
@@ -49,13 +49,13 @@
         self.http = http
         self.table_state = table_state
         self.random = random
-        # When an instance last answered anything.
+        # Time of each instance's last answer.
         self.answered_at: dict[str, float] = {}
-        # Moving average of the time that reads of a service take elsewhere, in seconds.
+        # Moving average of the latency of forwarded reads in seconds, by service.
         self.latencies: dict[str, float] = {}
 
     def pick(self, domain: str, tried: set[str]) -> InstanceView | None:
-        """Return a usable instance of a domain, or None."""
+        """Return a random usable instance of a domain that was not tried, or None."""
         own = self.table_state.own
         usable = [
             view
@@ -65,18 +65,18 @@
         return self.random.choice(usable) if usable else None
 
     def in_time(self, request: SteeredRequest, instance: InstanceView) -> bool:
-        """Tell whether an answer of an instance can arrive within the deadline."""
+        """Return whether an instance's answer can arrive within the deadline."""
         left_ms = (request.deadline - self.clock.monotonic()) * MS
         return left_ms > 2 * self._one_way_ms(instance) + 1
 
     async def run(self, request: SteeredRequest, instance: InstanceView) -> Attempt:
-        """Have a request run in an instance's failure domain."""
+        """Forward a request to an instance that runs it in its failure domain."""
         return await self._send(request, instance, HOP_PREFIX)
 
     async def ask_owner(
         self, request: SteeredRequest, instance: InstanceView
     ) -> Attempt:
-        """Have the owner of a request's key handle it."""
+        """Forward a request to the owner of its key."""
         return await self._send(request, instance, OWNER_PREFIX)
 
     async def _send(
@@ -87,7 +87,7 @@
         within = bounds(request, now, 2 * one_way_ms)
         if within is None:
             return refused(ErrorKind.DEADLINE_NOT_RUN, "too late for another domain")
-        # An owner answers by the deadline and goes on listening itself.
+        # An owner answers by the deadline and itself awaits a late answer to a write.
         owned = prefix == OWNER_PREFIX
         left_s = request.deadline - now if owned else within.timeout_s
         timeout_s = self._timeout_s(request, left_s, prefix)
@@ -117,8 +117,8 @@
                 self.table_state.pass_over(instance.name)
             return failed(ErrorKind.BACKEND_UNREACHABLE, f"{instance.name}: {error}")
         except AnswerTimeout as error:
-            # Not taken for a latency: it would make later reads wait for a silent
-            # instance for all of their time.
+            # Not recorded as a latency: later reads would spend all of their time
+            # waiting for a silent instance.
             if self._silent_since(instance, now):
                 self.table_state.pass_over(instance.name)
             return failed(ErrorKind.DEADLINE_EXCEEDED, f"{instance.name}: {error}")
@@ -128,21 +128,21 @@
             return AttemptFailure(error, True, stated=True).as_failure()
 
     def _timeout_s(self, request: SteeredRequest, left_s: float, prefix: str) -> float:
-        """Return how long to wait for an answer."""
+        """Return the timeout of a request in seconds."""
         if not request.idempotent or prefix != HOP_PREFIX:
             return left_s
         usual_s = READ_LATENCIES * self.latencies.get(request.service, 0.0)
         return min(left_s, max(READ_ATTEMPT_PART * left_s, usual_s))
 
     def _observe(self, request: SteeredRequest, latency_s: float) -> None:
-        """Take in how long a read took."""
+        """Update the average latency of forwarded reads."""
         if not request.idempotent:
             return
         known = self.latencies.setdefault(request.service, latency_s)
         self.latencies[request.service] = known + LATENCY_GAIN * (latency_s - known)
 
     def _silent_since(self, instance: InstanceView, sent_at: float) -> bool:
-        """Return whether an instance answered nothing since a request was sent."""
+        """Return whether an instance has answered no request since one was sent."""
         waited_s = self.clock.monotonic() - sent_at
         if waited_s < SILENCE_S + 2 * self._one_way_ms(instance) / MS:
             return False
--- a/ebonybend/entry/lending.py
+++ b/ebonybend/entry/lending.py
@@ -1,4 +1,4 @@
-"""Borrow units of shifts and caps from other entries of the region."""
+"""Lease units of shifts and caps from other entries of the region."""
 
 from random import Random
 from typing import Any
@@ -13,14 +13,14 @@
 from ebonybend.steering.shares import Loan
 
 LEND_PATH = "/peer/lend"
-# A loan lasts 2 s, so it is renewed three times before it ends.
+# A lease lasts 2 s, so it is renewed three times before it expires.
 LENDING_INTERVAL_S = 0.5
-# A lease that is asked for longer ago is worth little.
+# A lease runs from the time of its request, so a later reply leaves less of it.
 LEND_TIMEOUT_S = 0.4
 
 
 class LendingLoop:
-    """Ask for loans while a share is short; renew the loans that are in use."""
+    """Request leases while a share is too small; renew the leases in use."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
             self._timer.cancel()
 
     def lend(self, request: LendRequest) -> Loan:
-        """Answer a request for a loan."""
+        """Grant a lease of at most the requested units."""
         bound = self.budgets.bounds.get(request.bound)
         if bound is None or bound.share.cap != request.cap:
             return Loan(self.table_state.own, 0)
@@ -68,13 +68,13 @@
 
     @staticmethod
     def _needed(bound: Bound) -> int:
-        """Return how many borrowed units this entry could use now."""
+        """Return the leased units that this entry could use now."""
         usage = bound.share.usage()
         own = usage.units - sum(bound.share.loans().values())
         return max(0, usage.sent + usage.refused - own)
 
     def _lenders(self, bound: Bound) -> list[str]:
-        """Return the entries to ask: present lenders first, then a random one."""
+        """Return the entries to ask: current lenders first, then a random other one."""
         table = self.table_state.table
         region = self.table_state.region
         names = table.deployment.region_instances(region)
@@ -95,7 +95,7 @@
             self._waiting.discard(name)
 
     async def _ask(self, lender: str, name: str, bound: Bound, units: int) -> int:
-        """Return the units that a lender granted."""
+        """Request a lease from an entry and return the granted units."""
         sent_at = self.clock.monotonic()
         request = LendRequest(self.table_state.own, name, units, bound.share.cap)
         address = self.table_state.instances[lender].peer_address
--- a/ebonybend/entry/lookups.py
+++ b/ebonybend/entry/lookups.py
@@ -1,4 +1,4 @@
-"""Answer which entry instances a client should use."""
+"""Answer lookups: which entry instances a client should use."""
 
 from collections.abc import Callable
 from ipaddress import IPv4Address
@@ -12,17 +12,17 @@
 
 @frozen
 class ListedInstance:
-    """An instance in a look-up answer."""
+    """An instance in a lookup answer."""
 
     name: str
     address: str
-    # Start of every idempotency key for this instance.
+    # Prefix of every idempotency key for this instance.
     key_prefix: str
 
 
 @frozen
 class LookupAnswer:
-    """The body of a look-up answer."""
+    """The body of a lookup answer."""
 
     instances: tuple[ListedInstance, ...]
     lifetime_ms: int
@@ -42,7 +42,7 @@
         self.client_maps = client_maps
         self.lifetime_ms = lifetime_ms
         self.own_prefix = own_prefix
-        # Set while this instance leaves: it lists only others.
+        # Whether this instance is stopping; lookups then list only other instances.
         self.leaving = False
 
     def answer(self, client: IPv4Address) -> LookupAnswer:
--- a/ebonybend/entry/messages.py
+++ b/ebonybend/entry/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries other than forwarded requests."""
+"""Messages between entries, apart from forwarded requests."""
 
 from attrs import frozen
 
@@ -8,20 +8,20 @@
 
 @frozen
 class LendRequest:
-    """Ask for units of a shift or cap."""
+    """Request a lease of units of a shift or cap."""
 
     borrower: str
     # Key of the rule, see rules.rule_key.
     bound: str
     units: int
-    # The borrower's cap; a lender with another cap grants nothing, so that no unit of
-    # a larger cap is used under a smaller one.
+    # The borrower's cap. A lender with a different cap grants nothing, so that units
+    # of a larger cap are never used under a smaller one.
     cap: int
 
 
 @frozen
 class OutcomesPush:
-    """Finished outcomes of an entry, and its seal when it stops."""
+    """Final outcomes of an entry, and its seal when it stops."""
 
     instance: str
     incarnation: int
@@ -33,13 +33,13 @@
 class OutcomesTaken:
     """The answer to a push."""
 
-    # The seal was taken; False when outcomes that it counts are missing.
+    # Whether the seal was stored; False when outcomes that it counts are missing.
     sealed: bool
 
 
 @frozen
 class FindOutcome:
-    """Ask what is known about a key of another incarnation."""
+    """Request the known outcome of a key of another incarnation."""
 
     key: str
     fingerprint: str
--- a/ebonybend/entry/metrics.py
+++ b/ebonybend/entry/metrics.py
@@ -53,7 +53,7 @@
         self.revision = Gauge(
             "ebonybend_rules_revision", "Rules revision in force.", **registered
         )
-        # labels() costs a lock and a tuple per call, so the children are kept.
+        # labels() takes a lock and builds a tuple per call, so its results are cached.
         self._latencies: dict[tuple[str, str], Histogram] = {}
 
     def answered(self, service: str, region: str, seconds: float) -> None:
--- a/ebonybend/entry/owner.py
+++ b/ebonybend/entry/owner.py
@@ -1,4 +1,4 @@
-"""Requests that may run only once: the owner of the key decides."""
+"""Run keyed requests at most once: only the entry that owns the key runs them."""
 
 from typing import Any
 
@@ -38,14 +38,14 @@
 }
 
 
-# Refusals by which an entry's port did not read the key. They concern one copy of the
-# request, and another may have run.
+# Refusals that an entry's port sends without reading the key. They concern only one
+# copy of the request; another copy may have run.
 _COPY_REFUSALS = (ErrorKind.TOO_MANY_CONNECTIONS, ErrorKind.SLOW_CALLER)
 
 
 @define(eq=False)
 class _Run:
-    """The only dispatch of a key, and those who wait for its outcome."""
+    """The single run of a keyed request, and the clients that wait for its outcome."""
 
     dispatched: bool = False
     outcome: Attempt | None = None
@@ -53,7 +53,7 @@
 
 
 class KeyOwner:
-    """Run keyed requests at most once, or ask the entry that may run them."""
+    """Run keyed requests at most once, or forward them to the owner of their key."""
 
     def __init__(
         self,
@@ -78,11 +78,11 @@
 
     @property
     def running(self) -> int:
-        """Return the number of keys whose outcome is not known yet."""
+        """Return the number of keys whose run has not ended."""
         return len(self._runs)
 
     async def steer(self, request: SteeredRequest) -> Attempt:
-        """Return the outcome of a caller's keyed request."""
+        """Return the outcome of a client's keyed request."""
         prefix = KeyPrefix.parse(request.key)
         if self.registry.owns(prefix):
             return await self.run_owned(request)
@@ -90,7 +90,7 @@
         return await self._ask_owner(request, prefix)
 
     async def answer_peer(self, request: SteeredRequest) -> Attempt:
-        """Return the outcome of a request that another entry passed to its owner."""
+        """Return the outcome of a keyed request that another entry forwarded."""
         prefix = KeyPrefix.parse(request.key)
         if self.registry.owns(prefix):
             return await self.run_owned(request)
@@ -113,7 +113,7 @@
         if state is ReservationState.NEW:
             run = _Run()
             self._runs[request.key] = run
-            # The run goes on when its caller disappears, so that its outcome is known.
+            # The run continues if the client disconnects, so that its outcome is known.
             Deferred.fromCoroutine(self._run(request, run))
             return await self._outcome(request, run)
         if state is ReservationState.RUNNING:
@@ -146,7 +146,7 @@
         return await self.forwarder.forward(request)
 
     def _record(self, request: SteeredRequest, run: _Run) -> None:
-        """Record the outcome; only a provable refusal counts as not run."""
+        """Record the outcome; only a provable refusal is recorded as not run."""
         key = request.key
         if is_successful(run.outcome):
             answer = run.outcome.unwrap()
@@ -167,7 +167,7 @@
         self.replicator.changed()
 
     async def _outcome(self, request: SteeredRequest, run: _Run) -> Attempt:
-        """Wait for the outcome of a running key until the caller's deadline."""
+        """Wait until the client's deadline for the outcome of a running key."""
         if run.outcome is None:
             done: Deferred[None] = Deferred()
             run.waiting.append(done)
@@ -181,7 +181,7 @@
         return run.outcome
 
     async def _ask_owner(self, request: SteeredRequest, prefix: KeyPrefix) -> Attempt:
-        """Pass a request to the owner of its key; never run it here."""
+        """Forward a request to the owner of its key; never run it in this entry."""
         owner = self.table_state.instances.get(prefix.instance)
         if owner is None or owner.incarnation > prefix.incarnation:
             return await self._find(request, prefix)
@@ -196,7 +196,7 @@
         return await self._find(request, prefix)
 
     async def _find(self, request: SteeredRequest, prefix: KeyPrefix) -> Attempt:
-        """Return the outcome that a peer of the owner holds."""
+        """Return the outcome that this entry or a replica of the owner stores."""
         left_s = max(request.deadline - self.clock.monotonic(), 0.0)
         found = await self.finder.find(
             request.key, request.fingerprint, prefix.instance, left_s
--- a/ebonybend/entry/parsing.py
+++ b/ebonybend/entry/parsing.py
@@ -1,4 +1,4 @@
-"""Check callers' requests before any decision is made."""
+"""Parse and validate clients' requests."""
 
 from uuid import uuid4
 
@@ -13,7 +13,7 @@
 
 
 def split_service(uri: str, prefix: str) -> tuple[str, str]:
-    """Return the service and the path with its query below a prefix."""
+    """Return the service, and the path with query, that follow a prefix."""
     service, slash, path = uri.removeprefix(prefix).partition("/")
     if not uri.isprintable():
         raise SteeringError(ErrorKind.BAD_REQUEST, "the path has control characters")
@@ -25,7 +25,7 @@
 
 
 def parse_deadline_ms(text: str | None, settings: Settings) -> float:
-    """Return the deadline of a request, or the default."""
+    """Return the deadline of a request in milliseconds, or the default."""
     if text is None:
         return settings.default_deadline_ms
     longest = settings.longest_deadline_ms
@@ -37,7 +37,7 @@
 
 
 def parse_request_id(text: str | None) -> str:
-    """Return the caller's request id, or a new one."""
+    """Return the client's request id, or a new one."""
     if text is None:
         return uuid4().hex
     if (
@@ -76,7 +76,7 @@
     now: float,
     request_id: str,
 ) -> SteeredRequest:
-    """Return the checked request; raise a kind with outcome bad_request."""
+    """Return the validated request; raise an error with outcome bad_request."""
     service, path = split_service(incoming.raw.uri.decode("ascii"), prefix)
     key = parse_key(incoming.method, incoming.header("Idempotency-Key"))
     deadline_ms = parse_deadline_ms(incoming.header("Deadline-Ms"), settings)
--- a/ebonybend/entry/peer_client.py
+++ b/ebonybend/entry/peer_client.py
@@ -1,4 +1,4 @@
-"""Exchange messages with the peer ports of other entries."""
+"""Send messages to the peer ports of other entries."""
 
 from typing import Any, TypeVar
 
@@ -12,7 +12,7 @@
 
 
 class PeerClient:
-    """Send a message and decode its answer."""
+    """Send messages and decode the replies."""
 
     def __init__(self, http: HttpClient):
         self.http = http
@@ -20,7 +20,7 @@
     async def ask(
         self, address: str, path: str, message: Any, reply: type[T], timeout_s: float
     ) -> T:
-        """Return the reply to a message; raise RequestFailed without one."""
+        """Return the reply to a message; raise RequestFailed if there is none."""
         answer = await self.http.request(
             "POST", address, path, body=pack(message), timeout=timeout_s
         )
@@ -33,7 +33,7 @@
 
 
 def run_in_background(work: Any) -> Deferred[Any]:
-    """Run a coroutine whose failure to reach a peer has no other consequence."""
+    """Run a coroutine; ignore a failure to reach its peer."""
     running = Deferred.fromCoroutine(work)
     running.addErrback(lambda failure: failure.trap(RequestFailed) and None)
     return running
--- a/ebonybend/entry/peer_server.py
+++ b/ebonybend/entry/peer_server.py
@@ -1,4 +1,4 @@
-"""The peer port: heartbeats, loans, outcomes, hops and keyed requests."""
+"""The peer port: heartbeats, leases, outcomes and forwarded requests."""
 
 from collections.abc import Callable
 from typing import Any
@@ -23,7 +23,7 @@
 
 
 class PeerServer:
-    """Answer other entries."""
+    """Answer the messages and requests of other entries."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         )
 
     def _add(self, path: str, kind: type, answer: Callable[[Any], Any]) -> None:
-        """Answer one kind of message."""
+        """Register the handler of one kind of message."""
 
         async def handle(incoming: IncomingRequest) -> OutgoingAnswer:
             reply = answer(unpack(incoming.body, kind))
--- a/ebonybend/entry/replication.py
+++ b/ebonybend/entry/replication.py
@@ -1,4 +1,4 @@
-"""Hand finished outcomes to a peer, and find those of other entries."""
+"""Replicate final outcomes to a peer, and look up those of other entries."""
 
 from typing import Any
 
@@ -22,22 +22,22 @@
 FIND_PATH = "/peer/outcomes/find"
 PUSH_TIMEOUT_S = 1.0
 FIND_TIMEOUT_S = 0.3
-# Outcomes in one push; fewer when their answers are large.
+# Outcomes per push; fewer when their answers are large.
 MAX_RECORDS_PER_PUSH = 256
 # Below the body limit of the peer port.
 MAX_PUSH_BYTES = 512 << 10
-# Retries of a push wait this long.
+# Delay before a failed push is retried.
 RETRY_INTERVAL_S = 0.25
-# Entries that are asked for an outcome. The first is the one that the owner replicates
-# to while it is ready; the others take over when it is not.
+# Number of entries asked for an outcome. The owner replicates to the first one while
+# that is ready, and otherwise to the next ones.
 MOST_ASKED = 3
 
 
 def replica_order(table: Table, owner: str, domain_name: str) -> list[InstanceView]:
-    """Return the entries to hold an owner's outcomes, first choice first.
+    """Return the entries that may store an owner's outcomes, in order of preference.
 
-    The own domain's entries come first, from the owner's name on, then the next
-    domain's.
+    Entries of the owner's domain come first, starting after the owner's name, then
+    those of the following domains.
     """
     domains = sorted({view.failure_domain for view in table.instances})
     if domain_name not in domains:
@@ -54,7 +54,7 @@
 
 
 class Replicator:
-    """Push final outcomes to one peer, in order, without gaps."""
+    """Push final outcomes to one peer, in order and without gaps."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         self._retry: Any = None
 
     def changed(self) -> None:
-        """Note that there is a new outcome; it is pushed with others soon."""
+        """Start pushing new outcomes unless a push or a retry is pending."""
         if self._running is not None or self._retry is not None:
             return
         self._start()
@@ -89,12 +89,12 @@
             self._retry = self.reactor.callLater(RETRY_INTERVAL_S, self._start)
 
     def stop(self) -> None:
-        """Start no further push."""
+        """Cancel the pending retry."""
         if self._retry is not None and self._retry.active():
             self._retry.cancel()
 
     def settled(self) -> Deferred[Any]:
-        """Return what fires when the present push has ended."""
+        """Return a Deferred that fires when the current push has ended."""
         if self._running is None:
             return succeed(None)
         done: Deferred[None] = Deferred()
@@ -114,13 +114,13 @@
         return candidates[0] if candidates else None
 
     async def flush(self) -> bool:
-        """Push all outcomes that the peer lacks; return whether it has them."""
+        """Push all outcomes that the peer lacks; return whether it now has all."""
         while True:
             view = self._choose_target()
             if view is None:
                 return False
             if self.target != (view.name, view.incarnation):
-                # Another peer starts with nothing.
+                # A new peer has none of the outcomes.
                 self.target = (view.name, view.incarnation)
                 self.mark = 0
             batch = self._batch()
@@ -155,7 +155,7 @@
         return True
 
     async def seal(self, sealed: SealedIncarnation) -> bool:
-        """Hand over all outcomes and the seal; return whether a peer has both."""
+        """Push all outcomes and the seal; return whether a peer stored both."""
         if not await self.flush():
             return False
         view = self._choose_target()
@@ -172,7 +172,7 @@
 
 
 class OutcomeFinder:
-    """Find the outcome of a key whose owner can't be reached."""
+    """Look up the outcome of a key whose owner is unreachable."""
 
     def __init__(self, table_state: TableState, store: OutcomeStore, peers: PeerClient):
         self.table_state = table_state
@@ -182,7 +182,7 @@
     async def find(
         self, key: str, fingerprint: str, owner: str, timeout_s: float
     ) -> Found | None:
-        """Return what this entry or the likely holders know about a key."""
+        """Return the outcome of a key as stored here or at a likely replica."""
         found = self.store.find(key, fingerprint)
         table = self.table_state.table
         if found is not None or table is None:
@@ -213,7 +213,7 @@
 
 
 def answer_push(store: OutcomeStore, push: OutcomesPush) -> OutcomesTaken:
-    """Keep a peer's outcomes and, if it holds all of them, its seal."""
+    """Store a peer's outcomes and, if none is missing, its seal."""
     store.add(push.instance, push.incarnation, push.records)
     sealed = push.sealed is not None and store.seal(push.sealed)
     return OutcomesTaken(sealed)
--- a/ebonybend/entry/reports.py
+++ b/ebonybend/entry/reports.py
@@ -1,4 +1,4 @@
-"""Build this entry's reports to its control and its gauges."""
+"""Build this entry's reports to its control process, and set its gauges."""
 
 from ebonybend.entry.budgets import RegionBudgets
 from ebonybend.entry.metrics import EntryMetrics
@@ -11,12 +11,12 @@
 from ebonybend.steering.table import EntryReport, ServerLoad, ServerView, ServiceLoad
 from ebonybend.world import LifeState
 
-# About one recent failure; see Admission.failures.
+# Weight of about one recent failure; see Admission.failures.
 FAILING = 0.5
 
 
 class Reporter:
-    """Describe this entry's present state."""
+    """Report this entry's current state."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self.state = LifeState.LIVE
 
     def report(self) -> EntryReport:
-        """Return the report to the control."""
+        """Return the report for the control."""
         table = self.table_state.table
         return EntryReport(
             instance=self.settings.instance,
@@ -91,7 +91,7 @@
         )
 
     def refresh_gauges(self) -> None:
-        """Set the gauges to the present state."""
+        """Set the gauges to the current state."""
         for load in self._servers():
             self.metrics.in_flight.labels(load.server).set(load.in_flight)
             self.metrics.limit.labels(load.server).set(load.limit)
--- a/ebonybend/entry/requests.py
+++ b/ebonybend/entry/requests.py
@@ -1,4 +1,4 @@
-"""Requests of callers as the entry handles them, and the answers of backend servers."""
+"""Validated requests of clients, and the answers of backend servers."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 @define(eq=False)
 class SteeredRequest:
-    """A checked request on its way to a backend server."""
+    """A validated request that is to run on a backend server."""
 
     service: str
     method: str
@@ -20,11 +20,11 @@
     path: str
     body: bytes
     content_type: str | None
-    # End of the caller's deadline on the process's monotonic clock, in seconds.
+    # The client's deadline on the process's monotonic clock, in seconds.
     deadline: float
     request_id: str
     key: str | None = None
-    # Set when the caller has closed its connection.
+    # Whether the client has closed its connection.
     caller_gone: bool = False
     fingerprint: str = ""
     verdict: Verdict = Verdict.ALLOW
@@ -32,17 +32,17 @@
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether the request may run more than once."""
+        """Return whether the request may run more than once."""
         return self.method in IDEMPOTENT_METHODS
 
     @property
     def alone(self) -> bool:
-        """Tell whether the request may only run on a server that runs nothing else."""
+        """Return whether the request must run on a server without other requests."""
         return self.verdict is not Verdict.ALLOW
 
     @property
     def log(self) -> Any:
-        """Return the logger that adds the request id to every line."""
+        """Return the logger that adds request id, service and method to every line."""
         if self._log is None:
             self._log = get_logger().bind(
                 request_id=self.request_id, service=self.service, method=self.method
@@ -52,7 +52,7 @@
 
 @frozen
 class ServedAnswer:
-    """A whole answer of a backend server."""
+    """A complete answer of a backend server."""
 
     status: int
     content_type: str | None
--- a/ebonybend/entry/rules_state.py
+++ b/ebonybend/entry/rules_state.py
@@ -1,4 +1,4 @@
-"""The rules in force, grouped by what the forwarder asks."""
+"""The rules in force, grouped by kind."""
 
 from collections.abc import Iterable
 from urllib.parse import unquote
@@ -40,18 +40,18 @@
 
     @classmethod
     def from_text(cls, text: str, now: float) -> "RulesInForce":
-        """Return the rules of a text that are valid at a wall-clock time in seconds."""
+        """Return the rules of a text that are valid at a wall-clock time (seconds)."""
         return cls(compile_rules(text, now))
 
     def expired(self, now: float) -> bool:
-        """Tell whether a rule's validity has ended."""
+        """Return whether a rule's validity has ended."""
         return self.next_end is not None and now >= self.next_end
 
     def refuses(self, service: str, method: str, path: str) -> RefuseRule | None:
         """Return the rule that refuses a request, or None."""
         if not self.refusals:
             return None
-        # An encoded path must not get past a rule.
+        # A percent-encoded path must not bypass a rule.
         path = unquote(path)
         for rule in self.refusals:
             if rule.service != service or rule.method not in (None, method):
--- a/ebonybend/entry/running.py
+++ b/ebonybend/entry/running.py
@@ -1,4 +1,4 @@
-"""Requests in flight on each backend server, and what a crash says about them."""
+"""Track the requests in flight on each backend server, and report crashes."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,7 +9,7 @@
 from ebonybend.entry.requests import SteeredRequest
 from ebonybend.steering.suspects import SuspectRegistry
 
-# Longest time that a caller's answer waits for a crash notice to reach the control.
+# Longest delay of a client's answer while a crash notice is sent to the control.
 NOTICE_TIMEOUT_S = 0.3
 
 
@@ -19,7 +19,7 @@
 
     server: str
     request: SteeredRequest
-    # The crash that ended this request has been counted with another one.
+    # Whether the crash that ended this request was counted for another request.
     counted: bool = False
 
 
@@ -28,33 +28,33 @@
     """All requests in flight, by backend server."""
 
     suspects: SuspectRegistry
-    # Sends a report to the control; fires when the control has it.
+    # Sends a report to the control; the Deferred fires when the call has ended.
     push_notice: Callable[[], Deferred[Any]]
     reactor: Any
     by_server: dict[str, dict[Running, None]] = field(factory=dict)
-    # Servers that run one suspect request and take no other.
+    # Servers that run an isolated request and get no other.
     exclusive: set[str] = field(factory=set)
-    # Notices on their way to the control, by server.
+    # The last crash notice to the control, by server.
     _notices: dict[str, Deferred[Any]] = field(factory=dict)
 
     def add(self, server: str, request: SteeredRequest) -> Running:
-        """Note that a request starts on a server."""
+        """Record the start of a request on a server."""
         running = Running(server, request)
         self.by_server.setdefault(server, {})[running] = None
         return running
 
     def remove(self, running: Running) -> None:
-        """Note that a request ended."""
+        """Record the end of a request."""
         self.by_server[running.server].pop(running, None)
 
     def idle(self, server: str) -> bool:
-        """Tell whether no request of this entry is in flight on a server."""
+        """Return whether no request of this entry is in flight on a server."""
         return not self.by_server.get(server)
 
     async def lost(self, running: Running) -> None:
-        """Count a crash once for all requests it ended, then notify the control.
+        """Count a crash once for all requests that it ended, and notify the control.
 
-        Returns when the control has the notice, or after NOTICE_TIMEOUT_S.
+        Wait until the notice is sent, at most for NOTICE_TIMEOUT_S.
         """
         if not running.counted:
             together = list(self.by_server[running.server])
@@ -70,7 +70,7 @@
         await self._wait(self._notices.get(running.server))
 
     async def _wait(self, notice: Deferred[Any] | None) -> None:
-        """Wait for a notice that several requests wait for."""
+        """Wait for a notice; several requests may wait for the same one."""
         if notice is None or notice.called:
             return
         done: Deferred[None] = Deferred(lambda _: None)
--- a/ebonybend/entry/server.py
+++ b/ebonybend/entry/server.py
@@ -1,4 +1,4 @@
-"""The caller port: look-up, requests for services, health and metrics."""
+"""The client port: lookups, service requests, health checks and metrics."""
 
 from collections.abc import Callable
 from ipaddress import AddressValueError, IPv4Address
@@ -24,12 +24,12 @@
     """The body of /readyz."""
 
     ready: bool
-    # Why it is not ready, or an empty text.
+    # Why the instance is not ready, or an empty text.
     reason: str = ""
 
 
 class CallerServer:
-    """Answer callers."""
+    """Answer the requests of clients."""
 
     def __init__(
         self,
@@ -51,13 +51,13 @@
         self.router.add("GET", "/metrics", self.serve_metrics)
 
     async def handle(self, incoming: IncomingRequest) -> OutgoingAnswer:
-        """Answer one request of the caller port."""
+        """Answer one request of the client port."""
         if incoming.path.startswith(SERVICE_PREFIX):
             return await self.requests.serve(incoming)
         return await self.router(incoming)
 
     async def lookup(self, incoming: IncomingRequest) -> OutgoingAnswer:
-        """Answer which instances a client should use."""
+        """Answer with the instances that a client should use."""
         text = incoming.argument("client")
         try:
             client = IPv4Address(text or incoming.raw.getClientAddress().host)
@@ -69,11 +69,11 @@
         return json_answer(self.lookups.answer(client))
 
     async def livez(self, _incoming: IncomingRequest) -> OutgoingAnswer:
-        """Answer that the process runs."""
+        """Answer the liveness probe."""
         return OutgoingAnswer(200, b"ok\n", {"Content-Type": "text/plain"})
 
     async def readyz(self, _incoming: IncomingRequest) -> OutgoingAnswer:
-        """Answer whether callers should use this instance."""
+        """Answer the readiness probe; 503 tells clients to use another instance."""
         reason = self.not_ready_reason()
         status = 503 if reason else 200
         return json_answer(Readiness(not reason, reason), status)
--- a/ebonybend/entry/service.py
+++ b/ebonybend/entry/service.py
@@ -33,15 +33,15 @@
 
 MS = 1000.0
 NANOSECONDS_PER_MS = 1_000_000
-# Room for a push of outcomes, whose records alone reach 512 KB.
+# A push of outcomes must fit; its records alone reach 512 KB.
 MIN_PEER_BODY_BYTES = 1 << 20
-# Longest time to send the last answers after everything else has ended.
+# Longest wait for the last answers to be sent, at the end of a graceful stop.
 CLOSE_TIMEOUT_S = 1.0
 CLOSE_POLL_S = 0.02
 
 
 class EntryService:
-    """One entry process: ports, loops and the data plane."""
+    """One entry process: its ports, periodic loops and data plane."""
 
     def __init__(self, reactor: Any, settings: Settings):
         self.reactor = reactor
@@ -51,7 +51,7 @@
         self.exit_status = 0
         self._ended = False
         self.ports: list[Any] = []
-        # Wall time makes it larger than that of any earlier process of this instance.
+        # Wall-clock time: larger than that of any earlier process of this instance.
         incarnation = time_ns() // NANOSECONDS_PER_MS
         self.http = HttpClient(reactor, settings.source_address)
         self.plane = DataPlane(
@@ -152,7 +152,7 @@
         }
 
     def _port(self, prefix: str, steer: Any, measured: bool) -> RequestPort:
-        """Return a request port; only callers' requests are measured."""
+        """Return a request port; measured is set for clients' requests only."""
         return RequestPort(
             prefix,
             self.settings,
@@ -193,7 +193,7 @@
         get_logger().info("entry_started", incarnation=self.plane.registry.incarnation)
 
     def not_ready_reason(self) -> str:
-        """Return why callers should not use this instance, or an empty text."""
+        """Return why clients should not use this instance, or an empty text."""
         if self.stop.stopping:
             return "this instance stops"
         if self.plane.table_state.table is None:
@@ -205,12 +205,12 @@
         return self.control.report_now()
 
     def on_tick(self) -> None:
-        """Do the periodic work that needs no message."""
+        """Remove expired rules and advance the ramps."""
         self.plane.table_state.refresh_rules()
         self.plane.budgets.tick()
 
     def announce_leaving(self) -> None:
-        """Tell callers and the control to use other instances from now on."""
+        """Announce to clients and the control that this instance is leaving."""
         self.lookups.leaving = True
         self.reporter.state = LifeState.LEAVING
         for site in self.sites.values():
@@ -218,14 +218,14 @@
         self.control.report_now()
 
     def unfinished(self) -> int:
-        """Return the keys, slots and answers that are still in use."""
+        """Return the number of keys, slots and answers still in use."""
         ledger = self.plane.ledger
         slots = sum(ledger.in_flight(server) for server in ledger.servers)
         answers = sum(site.running for site in self.sites.values())
         return self.plane.owner.running + slots + answers
 
     async def hand_over(self) -> None:
-        """Hand outcomes to a peer, release the slots and tell the other members."""
+        """Push outcomes to a peer, release the slots and send the last heartbeats."""
         plane = self.plane
         await plane.replicator.settled()
         sealed = await plane.replicator.seal(plane.registry.seal())
@@ -237,7 +237,7 @@
         await self._close_ports()
 
     async def _close_ports(self) -> None:
-        """Close the connections once their last answers are sent."""
+        """Close the ports, and the connections once their last answers are sent."""
         for port in self.ports:
             await maybeDeferred(port.stopListening)
         until = self.clock.monotonic() + CLOSE_TIMEOUT_S
@@ -257,7 +257,7 @@
         self.control.stop()
         if not self._ended:
             self._ended = True
-            # One more turn of the loop lets the channel close.
+            # One more iteration of the event loop lets the channel close.
             self.reactor.callLater(0, self.reactor.stop)
 
 
--- a/ebonybend/entry/serving.py
+++ b/ebonybend/entry/serving.py
@@ -1,4 +1,4 @@
-"""Receive requests for services on either port and send their answers."""
+"""Serve service requests on the client port and the peer port."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -24,18 +24,18 @@
 
 @define
 class Activity:
-    """The requests of both ports, which a graceful stop waits for."""
+    """Counts the requests of both ports; a graceful stop waits for them."""
 
     last_request_at: float
     in_flight: int = 0
-    # Set in the last phase of a stop: new requests are refused.
+    # Set in the last phase of a graceful stop, when new requests are refused.
     refusing: bool = False
 
     def begin(self, now: float, refusable: bool) -> None:
         """Count a request; raise DRAINING in the last phase of a stop.
 
-        A keyed request may have run before, so only the owner of its key may say that
-        it did not run.
+        Keyed requests are not refusable here: a copy may have run, so only the owner
+        of the key may answer that the request did not run.
         """
         if self.refusing and refusable:
             raise SteeringError(ErrorKind.DRAINING, "this instance stops")
@@ -44,7 +44,7 @@
 
 
 class RequestPort:
-    """Serve the requests under one path prefix."""
+    """Serve the requests below one path prefix."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self.steer = steer
         self.note_answer = note_answer
         self.note_refusal = note_refusal
-        # Keyed requests go to the owner of their key.
+        # Whether the owner of the key handles keyed requests.
         self.asks_owner = asks_owner
 
     async def serve(
@@ -101,7 +101,7 @@
         except SteeringError as error:
             return self._refuse(request, error)
         except CancelledError:
-            # The caller has gone, so nobody gets this answer.
+            # The client has disconnected, so this answer is discarded.
             return OutgoingAnswer()
         if request.caller_gone and request.idempotent:
             return OutgoingAnswer()
@@ -116,14 +116,14 @@
     def _refuse(self, request: SteeredRequest, error: SteeringError) -> OutgoingAnswer:
         self.note_refusal(error)
         unknown = error.answer.outcome is Outcome.UNKNOWN
-        # Refusals are frequent under overload and are counted by kind anyway.
+        # Refusals are frequent under overload, and the metrics count them by kind.
         write = request.log.warning if unknown else request.log.debug
         write("refused", kind=error.kind.value, message=error.message)
         return error_answer(error, request.request_id)
 
 
 def watch_caller(raw: Any, request: SteeredRequest) -> None:
-    """End a read when its caller disappears; a write goes on to its outcome."""
+    """Cancel a read when its client disconnects; a write continues to its outcome."""
 
     def gone() -> None:
         request.caller_gone = True
--- a/ebonybend/entry/steer.py
+++ b/ebonybend/entry/steer.py
@@ -1,4 +1,4 @@
-"""What the ports ask of the data plane."""
+"""Handle the requests that the ports receive."""
 
 from ebonybend.entry.attempts import Attempt
 from ebonybend.entry.forwarder import Forwarder
@@ -11,7 +11,7 @@
 
 
 class Steering:
-    """Answer the requests of callers and of other entries."""
+    """Handle the requests of clients and of other entries."""
 
     def __init__(self, forwarder: Forwarder, owner: KeyOwner):
         self.forwarder = forwarder
@@ -20,7 +20,7 @@
     async def from_caller(
         self, request: SteeredRequest, _incoming: IncomingRequest
     ) -> Attempt:
-        """Answer a caller's request."""
+        """Handle a client's request."""
         if request.key is not None:
             return await self.owner.steer(request)
         self.forwarder.check(request)
@@ -29,7 +29,7 @@
     async def from_hop(
         self, request: SteeredRequest, incoming: IncomingRequest
     ) -> Attempt:
-        """Run another entry's request on a server of the own failure domain."""
+        """Run another entry's request on a server in the own failure domain."""
         state = self.forwarder.table_state
         if request.service not in state.services:
             raise SteeringError(ErrorKind.NOT_READY, f"no service {request.service!r}")
@@ -41,7 +41,7 @@
     async def from_owner_hop(
         self, request: SteeredRequest, _incoming: IncomingRequest
     ) -> Attempt:
-        """Answer another entry's request whose key names this entry."""
+        """Handle a keyed request that another entry forwarded to the key's owner."""
         if request.key is None:
             raise SteeringError(ErrorKind.KEY_REQUIRED, "only keyed requests have one")
         return await self.owner.answer_peer(request)
--- a/ebonybend/entry/stop.py
+++ b/ebonybend/entry/stop.py
@@ -1,4 +1,4 @@
-"""Stop an entry process without cutting off a request."""
+"""Stop an entry process without aborting requests."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,14 +13,15 @@
 
 MS = 1000.0
 POLL_INTERVAL_S = 0.05
-# Covers a write that is listened to after its deadline, and its answer's way back.
+# Covers the wait for a write's answer past its deadline (WRITE_GRACE_S in dispatch),
+# and the network delay of the answer.
 END_MARGIN_S = 0.5
-# Longest time for the hand-over of outcomes and for the last heartbeats.
+# Longest time to push the outcomes and send the last heartbeats.
 HAND_OVER_TIMEOUT_S = 3.0
 
 
 class GracefulStop:
-    """Serve on while callers still know this instance, then hand over and end."""
+    """Serve until clients no longer use this instance, then hand over and end."""
 
     def __init__(
         self,
@@ -48,7 +49,7 @@
 
     @property
     def stopping(self) -> bool:
-        """Tell whether a stop has begun."""
+        """Return whether a stop has begun."""
         return self.started_at is not None
 
     def request(self) -> None:
@@ -92,6 +93,6 @@
         return not self.activity.in_flight and not self.unfinished()
 
     def _quiet(self) -> bool:
-        """Tell whether no caller can hold a look-up answer that names this instance."""
+        """Return whether no client can hold a valid lookup that lists this instance."""
         last = max(self.activity.last_request_at, self.started_at)
         return self._idle() and self.clock.monotonic() - last >= self.lifetime_s
--- a/ebonybend/entry/table_state.py
+++ b/ebonybend/entry/table_state.py
@@ -1,4 +1,4 @@
-"""The routing table in force on this entry, and what is derived from it."""
+"""The routing table in force on this entry, and the values derived from it."""
 
 import time
 from collections.abc import Callable
@@ -10,16 +10,16 @@
 from ebonybend.world import LifeState, ServerState
 
 MS = 1000.0
-# A server that said in an answer that it is draining is not used for this time, within
-# which probes (every 500 ms) and the table show its state.
+# A server that reported in an answer that it is draining is not used for this time.
+# By its end, probes (every 500 ms) have updated the server's state in the table.
 DRAINING_MEMORY_S = 5.0
-# An entry that refused a connection or is silent is not used for this time, because the
-# table shows an entry of another domain as ready for seconds after its end.
+# An entry that refused a connection or is silent is not used for this time, because
+# the table lists an entry of another domain as ready for seconds after it has ended.
 PASS_OVER_S = 2.0
 
 
 class TableState:
-    """Hold the newest table; derived values are built once per table."""
+    """Holds the newest table and the values derived from it, built once per table."""
 
     def __init__(self, own: str, clock: Clock, wall: Callable[[], float] = time.time):
         self.own = own
@@ -41,7 +41,7 @@
         self._usable: dict[str, tuple[InstanceView, ...]] = {}
 
     def accept(self, reply: TableReply) -> None:
-        """Take a reply of the control; an older table or revision is not taken."""
+        """Apply a reply of the control; ignore an older table or rules revision."""
         table = reply.table
         if table is not None and self._is_older(table):
             return
@@ -86,14 +86,14 @@
         return Weights(contract.latency_weight, contract.headroom_weight)
 
     def _compile(self, text: str) -> None:
-        """Compile the rules if their text or their validity has changed."""
+        """Compile the rules if their text has changed or one has expired."""
         now = self.wall()
         if text != self._rules_text or self.rules.expired(now):
             self._rules_text = text
             self.rules = RulesInForce.from_text(text, now)
 
     def refresh_rules(self) -> None:
-        """Drop the rules whose validity has ended."""
+        """Remove the rules whose validity has ended."""
         if self.table is not None and self.rules.expired(self.wall()):
             self._derive(self.table)
             self._notify()
@@ -104,21 +104,21 @@
         return domain.region if domain else ""
 
     def note_draining(self, server: str) -> None:
-        """Remember that a server said that it is draining."""
+        """Record that a server reported that it is draining."""
         self._draining_until[server] = self.clock.monotonic() + DRAINING_MEMORY_S
 
     def server_state(self, view: ServerView) -> ServerState:
-        """Return a server's state; its own statement goes before an older table."""
+        """Return a server's state; its own report takes precedence over the table."""
         return ServerState.DRAINING if self.said_draining(view.name) else view.state
 
     def said_draining(self, server: str) -> bool:
-        """Return whether a server has said in an answer that it is draining."""
+        """Return whether a server lately reported in an answer that it is draining."""
         until = self._draining_until.get(server)
         return until is not None and self.clock.monotonic() < until
 
     @property
     def age_ms(self) -> float:
-        """Return the age of the newest update behind the table."""
+        """Return the age of the newest information from the control."""
         return (self.clock.monotonic() - self._updated_at) * MS
 
     @property
@@ -132,7 +132,7 @@
         return self.table.rules_revision if self.table else 0
 
     def usable_in(self, domain: str) -> tuple[InstanceView, ...]:
-        """Return a domain's instances that are ready and not leaving."""
+        """Return a domain's instances that are ready, not leaving and not ejected."""
         usable = self._usable.get(domain, ())
         if not self._passed_over_until:
             return usable
@@ -141,7 +141,7 @@
         return tuple(v for v in usable if until.get(v.name, now) <= now)
 
     def pass_over(self, instance: str) -> None:
-        """Don't use an instance for a time: it refused a connection or is silent."""
+        """Eject an instance for a time after a refused connection or silence."""
         now = self.clock.monotonic()
         recent = {
             n: until for n, until in self._passed_over_until.items() if until > now
--- a/ebonybend/entry/tests/harness.py
+++ b/ebonybend/entry/tests/harness.py
@@ -1,4 +1,4 @@
-"""A data plane with a fake HTTP client and a clock that tests move."""
+"""A data plane with a fake HTTP client and a clock that tests advance."""
 
 from collections.abc import Callable
 from random import Random
@@ -95,7 +95,7 @@
 
 
 class FakeHttp:
-    """Answer each request by a function of the call."""
+    """Answer each request by calling a function."""
 
     def __init__(self):
         self.calls: list[Call] = []
@@ -209,7 +209,7 @@
         return succeed(True)
 
     def ready(self, **change: Any) -> "Harness":
-        """Give the plane a table and let its slots settle."""
+        """Apply a table and wait until this entry owns all slots."""
         self.reactor.advance(100.0)
         first = table(**change)
         self.plane.table_state.accept(TableReply(first))
@@ -219,7 +219,7 @@
         for _ in range(50):
             self.reactor.advance(0.25)
             ledger.tick()
-        # The views were aged by the waiting.
+        # Fresh views: those of the first table have aged meanwhile.
         self.plane.table_state.accept(TableReply(table(serial=2, **change)))
         return self
 
@@ -237,7 +237,7 @@
         )
 
     def steer(self, request: SteeredRequest) -> Deferred[Any]:
-        """Steer a caller's request."""
+        """Steer a client's request."""
         return Deferred.fromCoroutine(self.plane.steering.from_caller(request, None))
 
     def in_flight(self) -> int:
--- a/ebonybend/entry/tests/test_budgets.py
+++ b/ebonybend/entry/tests/test_budgets.py
@@ -61,7 +61,7 @@
         return errors.count(None), [e.kind for e in errors if e is not None]
 
     def test_no_request_over_the_lowest_bound_in_any_window(self):
-        """Guards against traffic over a cap, also when two bounds apply."""
+        """Guards against traffic over a cap when several bounds apply."""
         self.apply(cap(8), shift(0.5, 5), cap(1000, "other service"))
         self.assertEqual(0, self.admitted()[0])
         self.reactor.advance(20.0)
@@ -73,7 +73,7 @@
             self.reactor.advance(1.01)
 
     def test_a_changed_cap_keeps_what_was_sent(self):
-        """Guards against a new window, and so double traffic, after a change."""
+        """Guards against a new window, and so double traffic, after a cap change."""
         self.apply(cap(8))
         self.reactor.advance(20.0)
         self.assertEqual(8, self.admitted()[0])
@@ -83,7 +83,7 @@
         self.assertEqual(4, self.admitted()[0])
 
     def test_link_budget_bounds_the_bytes(self):
-        """Guards against requests that overfill a link."""
+        """Guards against requests that exceed a link's bandwidth."""
         self.apply()
         self.reactor.advance(5.0)
         admitted, kinds = self.admitted(size=100_000)
@@ -98,7 +98,7 @@
         self.assertIsNone(self.budgets.shift_target("other service"))
 
     def test_paced_answer_stays_within_the_budget(self):
-        """Guards against an answer that overfills the link in a burst."""
+        """Guards against an answer that exceeds the link's bandwidth in a burst."""
         self.apply()
         self.reactor.advance(5.0)
         pacer = self.budgets.pacer("montego")
@@ -119,7 +119,7 @@
             self.assertLessEqual(len(within) * pacer.chunk_bytes, 1_000_000)
 
     def test_rules_of_other_regions_do_not_apply(self):
-        """Guards against a cap on the wrong senders."""
+        """Guards against applying a cap to senders of another region."""
         other = cap(1)
         other = evolve(other, body=evolve(other.body, source="montego"))
         self.apply(other)
--- a/ebonybend/entry/tests/test_forwarder.py
+++ b/ebonybend/entry/tests/test_forwarder.py
@@ -41,9 +41,9 @@
 
 
 class FailureTest(TestWithScenarios, TestCase):
-    """Guards against a wrong outcome, and a send that is not safe, after a failure.
+    """Guards against a wrong outcome or an unsafe retry after a failure.
 
-    Every backend server fails in the same way, and so does every other domain.
+    All backend servers fail in the same way, and so do all other domains.
     """
 
     scenarios = [
@@ -137,7 +137,7 @@
 
 
 class SecondPlaceTest(TestCase):
-    """Guards against giving up while a safe second place is left."""
+    """Guards against giving up while a safe retry is possible."""
 
     def run_first_fails(self, method, failure):
         harness = Harness().ready()
@@ -182,11 +182,11 @@
         self.assert_passed_over(NotSent("x", True))
 
     def test_silent_instance_is_not_tried_by_the_next_request(self):
-        """Guards against each read waiting for a paused instance."""
+        """Guards against reads that each wait for a paused instance."""
         self.assert_passed_over(AnswerTimeout("x"))
 
     def test_slow_request_does_not_make_its_instance_silent(self):
-        """Guards against passing over an instance for one request's short deadline."""
+        """Guards against ejecting an instance after a request with a short deadline."""
         harness = Harness().ready(servers=0)
         late = AnswerTimeout("x")
         harness.http.respond = lambda call: late
@@ -198,7 +198,7 @@
         self.assertEqual({"m1a:2", "m1b:2"}, set(hops))
 
     def test_read_waits_for_another_entry_for_half_of_its_time(self):
-        """Guards against a read that has no time left for a second place."""
+        """Guards against a read that has no time left for a retry."""
         harness = Harness().ready(servers=0)
         harness.http.respond = lambda call: entry_answer(200, "answered", None)
         for method in ("GET", "POST"):
@@ -215,7 +215,7 @@
 
 
 class CrashTest(TestCase):
-    """Guards against running a crashing request again beside others."""
+    """Guards against rerunning a crashing request together with others."""
 
     def test_one_crash_counts_once_and_is_notified(self):
         harness = Harness().ready(servers=1)
@@ -252,7 +252,7 @@
 
 
 class GaveUpTest(TestCase):
-    """Guards against "answered" for a server that gave up at the deadline."""
+    """Guards against the outcome "answered" when a server gave up at the deadline."""
 
     def test_504_at_the_deadline_is_unknown_and_an_earlier_one_is_an_answer(self):
         harness = Harness().ready()
@@ -269,7 +269,7 @@
 
 
 class SlotTest(TestCase):
-    """Guards against more requests on a server than slots."""
+    """Guards against more requests on a server than it has slots."""
 
     def test_cancelled_reads_keep_their_slots_until_the_server_knows(self):
         harness = Harness().ready(servers=1)
--- a/ebonybend/entry/tests/test_owner.py
+++ b/ebonybend/entry/tests/test_owner.py
@@ -20,7 +20,7 @@
 
 
 class ResendTest(TestCase):
-    """Guards against a second run and a wrong answer under one key."""
+    """Guards against a second run or a wrong answer under one key."""
 
     def setUp(self):
         super().setUp()
@@ -98,7 +98,7 @@
 
 
 class ForeignKeyTest(TestWithScenarios, TestCase):
-    """Guards against "not run" or a run for a key of another entry."""
+    """Guards against running, or reporting as not run, a key of another entry."""
 
     scenarios = [
         (name, {"owner": owner, "find": find, "kind": kind})
@@ -144,7 +144,7 @@
 
 
 class ForeignAnswerTest(TestCase):
-    """Guards against losing an answer that the owner or its peer holds."""
+    """Guards against losing an answer that the owner or its replica stores."""
 
     def test_owner_answers(self):
         harness = Harness().ready()
--- a/ebonybend/entry/tests/test_replication.py
+++ b/ebonybend/entry/tests/test_replication.py
@@ -39,7 +39,7 @@
 
 
 class ReplicationTest(TestCase):
-    """Guards against outcomes that are lost with their owner."""
+    """Guards against losing outcomes when their owner ends."""
 
     def setUp(self):
         super().setUp()
--- a/ebonybend/entry/tests/test_rules_state.py
+++ b/ebonybend/entry/tests/test_rules_state.py
@@ -10,7 +10,7 @@
 
 
 class RefuseTest(TestWithScenarios, TestCase):
-    """Guards against requests that get past a refuse rule, or are refused wrongly."""
+    """Guards against requests that bypass a refuse rule or are refused wrongly."""
 
     scenarios = [
         (name, {"asked": asked, "refused": refused})
@@ -31,7 +31,7 @@
 
 class ValidityTest(TestCase):
     def test_the_first_end_counts(self):
-        """Guards against a rule that stays in force after its end."""
+        """Guards against a rule that stays in force after its validity has ended."""
         drain = DrainRule(target_kind="backend", name="s1")
         rules = RulesInForce([rule(drain, 20.0), rule(drain, 10.0), rule(drain)])
         self.assertFalse(rules.expired(9.0))
--- a/ebonybend/entry/tests/test_stop.py
+++ b/ebonybend/entry/tests/test_stop.py
@@ -12,7 +12,7 @@
 
 
 class GracefulStopTest(TestCase):
-    """Guards against a stop that cuts off requests or never ends."""
+    """Guards against a stop that aborts requests or never ends."""
 
     def setUp(self):
         super().setUp()
