--- a/ebonybend/entry/budgets.py
+++ b/ebonybend/entry/budgets.py
@@ -166,13 +166,13 @@
         full = [b for b in bounds if b.share.usage().sent >= b.share.units()]
         for bound in full:
             # The share counts the refusal; the lease loop reads that count as demand.
-            bound.share.take()
+            bound.share.try_acquire()
         if full:
             return SteeringError(
                 ErrorKind.CAP_REACHED, f"cap to {region} reached", CAP_RETRY_AFTER_MS
             )
         for bound in bounds:
-            bound.share.take()
+            bound.share.try_acquire()
         if link is not None:
             link.charge(size)
         return None
--- a/ebonybend/entry/server.py
+++ b/ebonybend/entry/server.py
@@ -28,7 +28,7 @@
     reason: str = ""
 
 
-class CallerServer:
+class ClientServer:
     """Answer the requests of clients."""
 
     def __init__(
