--- a/ebonybend/entry/answers.py
+++ b/ebonybend/entry/answers.py
@@ -11,7 +11,7 @@
 def outgoing_answer(
     answer: ServedAnswer, request_id: str, pacer: Pacer | None = None
 ) -> OutgoingAnswer:
-    """Return a backend server's answer as an HTTP answer to the client."""
+    """Return a backend server's answer as the HTTP answer to pass on."""
     headers = {
         "Ebonybend-Outcome": ANSWERED,
         "Request-Id": request_id,
--- a/ebonybend/entry/attempts.py
+++ b/ebonybend/entry/attempts.py
@@ -28,7 +28,7 @@
     """The reason why an attempt produced no answer."""
 
     error: SteeringError
-    # Whether the attempt reached out to a backend server or another entry. A retry
+    # Whether a backend server or another entry was used for the attempt. A retry
     # after a refusal inside this process takes no token of the retry budget.
     sent: bool
     # Whether another entry reported the error; it then covers all attempts made there.
--- a/ebonybend/entry/budgets.py
+++ b/ebonybend/entry/budgets.py
@@ -76,7 +76,7 @@
         for rule in (*self.table_state.rules.shifts, *self.table_state.rules.caps):
             if rule.body.source != self.table_state.region:
                 continue
-            # A rule whose cap or end time changes keeps its key and so its send window.
+            # A rule keeps its key, and so its send window, when its cap or end changes.
             name = rule_key(rule.body)
             existing = rules.get(name)
             if existing is None or _cap_per_second(rule) < _cap_per_second(existing):
@@ -158,7 +158,7 @@
         return None
 
     def admit(self, service: str, region: str, size: int) -> SteeringError | None:
-        """Charge a request to a region's caps and link; return an error if full."""
+        """Charge a request to a region's caps and link, or return why it is refused."""
         bounds = [b for b in self.bounds.values() if b.applies_to(service, region)]
         size += HEADER_BYTES
         link = self.links.get(region)
@@ -168,7 +168,7 @@
             )
         exhausted = [b for b in bounds if b.share.usage().sent >= b.share.units()]
         for bound in exhausted:
-            # The share counts the refusal; the lease loop reads that count as demand.
+            # The share counts the refusal, from which the lease loop sees the demand.
             bound.share.try_acquire()
         if exhausted:
             return SteeringError(
@@ -196,7 +196,7 @@
         return link.utilisation() if link is not None else 0.0
 
     def pacer(self, region: str | None) -> "LinkPacer | None":
-        """Return the pacer for answers to a region, or None without a link to it."""
+        """Return a pacer for answers to a region, or None if no link leads to it."""
         link = self.links.get(region or "")
         return LinkPacer(self.reactor, link) if link is not None else None
 
--- a/ebonybend/entry/control_client.py
+++ b/ebonybend/entry/control_client.py
@@ -43,7 +43,7 @@
 
 
 class ControlClient:
-    """Send reports to the control and pass on its replies."""
+    """Send reports to the control and apply its replies."""
 
     def __init__(
         self,
@@ -113,7 +113,7 @@
         self._current_report = None
 
     def report_now(self) -> Deferred[bool]:
-        """Send a report at once; the result is whether the control answered it."""
+        """Send a report at once; fires with whether the control answered it."""
         return Deferred.fromCoroutine(self._report())
 
     async def _report(self) -> bool:
@@ -145,7 +145,7 @@
 
 
 async def _result(call: Any) -> Any:
-    """Await a call; raise SteeringError if the channel was closed meanwhile."""
+    """Await a call; raise SteeringError if the channel is closed meanwhile."""
     try:
         return await call
     except CancelledError as error:
--- a/ebonybend/entry/dispatch.py
+++ b/ebonybend/entry/dispatch.py
@@ -49,13 +49,14 @@
 
     # Value of the Deadline-Ms header.
     deadline_ms: int
+    # How long to wait for the answer.
     timeout_s: float
 
 
 def time_limits(
     request: SteeredRequest, now: float, round_trip_ms: float = 0.0
 ) -> TimeLimits | None:
-    """Return the limits at dispatch, or None if the deadline can't be met.
+    """Return the time limits at dispatch, or None if the deadline can't be met.
 
     The round trip to another entry, in milliseconds, is subtracted from its deadline.
     """
@@ -146,7 +147,7 @@
     def _would_time_out(self, server: str, limits: TimeLimits) -> bool:
         """Return whether a request would likely time out on a server's last free slot.
 
-        At twice the capacity, requests that were cancelled at their deadlines took a
+        At a load of twice the capacity, requests cancelled at their deadlines took a
         quarter of the slots' time. While more slots are free, a short request may run.
         """
         busy = self.admission.ledger.in_flight(server) > 0
--- a/ebonybend/entry/domains.py
+++ b/ebonybend/entry/domains.py
@@ -10,8 +10,8 @@
 from ebonybend.steering.table import DomainView, ServiceLoad, Table
 from ebonybend.steering.weights import EQUAL_WEIGHTS
 
-# The options of a service are cached for this time. Within it, only this entry's own
-# load changes, which the chooser counts itself.
+# Time for which a service's options are cached. Meanwhile only this entry's own load
+# changes, which the domain chooser counts itself.
 OPTIONS_LIFETIME_S = 0.02
 # Suffix of the option for the slots that other entries of the own domain own.
 SIBLINGS_SUFFIX = "/siblings"
--- a/ebonybend/entry/forwarder.py
+++ b/ebonybend/entry/forwarder.py
@@ -43,7 +43,7 @@
         ...
 
     def admit(self, service: str, region: str, size: int) -> SteeringError | None:
-        """Charge a request to a region's caps and link; return an error if full."""
+        """Charge a request to a region's caps and link, or return why it is refused."""
         ...
 
     def record_result(
--- a/ebonybend/entry/heartbeats.py
+++ b/ebonybend/entry/heartbeats.py
@@ -72,7 +72,7 @@
     def send(self, force: bool = False) -> Deferred[Any]:
         """Send a heartbeat to every other member; fires when all calls have ended.
 
-        A member with an unanswered heartbeat gets another one only if again is set.
+        A member with an unanswered heartbeat gets another one only if force is set.
         """
         names = [name for name in self.addresses if name != self.ledger.own]
         sends = [run_in_background(self._send(name, force)) for name in names]
--- a/ebonybend/entry/hops.py
+++ b/ebonybend/entry/hops.py
@@ -31,7 +31,7 @@
 OWNER_PREFIX = "/peer/owner/"
 # The receiver must run the request on a server without other requests.
 ISOLATED_HEADER = "Ebonybend-Alone"
-# The sender's region; the answer is charged to the link to it.
+# The sender's region; the answer is charged to the link to that region.
 REGION_HEADER = "Ebonybend-Region"
 # An instance that answers no request for this long and a round trip is paused or
 # unreachable; a single slow request is not enough. The table marks a silent instance
@@ -60,7 +60,7 @@
         self.latencies: dict[str, float] = {}
 
     def pick_instance(self, domain: str, tried: set[str]) -> InstanceView | None:
-        """Return a random usable instance of a domain that was not tried, or None."""
+        """Return a random usable and untried instance of a domain, or None."""
         own = self.table_state.own
         usable = [
             view
--- a/ebonybend/entry/lending.py
+++ b/ebonybend/entry/lending.py
@@ -68,7 +68,7 @@
 
     @staticmethod
     def _needed_units(bound: Bound) -> int:
-        """Return the leased units that this entry could use now."""
+        """Return the number of leased units that this entry could use now."""
         usage = bound.share.usage()
         own = usage.units - sum(bound.share.loans().values())
         return max(0, usage.sent + usage.refused - own)
--- a/ebonybend/entry/owner.py
+++ b/ebonybend/entry/owner.py
@@ -1,4 +1,4 @@
-"""Run keyed requests at most once: only the entry that owns the key runs them."""
+"""Run keyed requests at most once, only on the entry that owns their key."""
 
 from typing import Any
 
--- a/ebonybend/entry/parsing.py
+++ b/ebonybend/entry/parsing.py
@@ -1,4 +1,4 @@
-"""Parse and validate clients' requests."""
+"""Parse and validate client requests."""
 
 from uuid import uuid4
 
--- a/ebonybend/entry/peer_client.py
+++ b/ebonybend/entry/peer_client.py
@@ -33,7 +33,7 @@
 
 
 def run_in_background(work: Any) -> Deferred[Any]:
-    """Run a coroutine; ignore a failure to reach its peer."""
+    """Start a coroutine and ignore its RequestFailed."""
     running = Deferred.fromCoroutine(work)
     running.addErrback(lambda failure: failure.trap(RequestFailed) and None)
     return running
--- a/ebonybend/entry/replication.py
+++ b/ebonybend/entry/replication.py
@@ -67,7 +67,9 @@
         self.table_state = table_state
         self.registry = registry
         self.peers = peers
+        # Name and incarnation of the peer that stores the outcomes.
         self.replica: tuple[str, int] | None = None
+        # Position in the registry's log up to which that peer has all outcomes.
         self.mark = 0
         self._current_push: Deferred[bool] | None = None
         self._retry_timer: Any = None
--- a/ebonybend/entry/reports.py
+++ b/ebonybend/entry/reports.py
@@ -11,7 +11,7 @@
 from ebonybend.steering.table import EntryReport, ServerLoad, ServerView, ServiceLoad
 from ebonybend.world import LifeState
 
-# Weight of about one recent failure; see Admission.failures.
+# Reached by about one recent failure; see Admission.failures.
 FAILING_THRESHOLD = 0.5
 
 
--- a/ebonybend/entry/requests.py
+++ b/ebonybend/entry/requests.py
@@ -1,4 +1,4 @@
-"""Validated requests of clients, and the answers of backend servers."""
+"""Validated client requests, and the answers of backend servers."""
 
 from typing import Any
 
--- a/ebonybend/entry/running.py
+++ b/ebonybend/entry/running.py
@@ -32,7 +32,7 @@
     send_crash_notice: Callable[[], Deferred[Any]]
     reactor: Any
     by_server: dict[str, dict[RunningRequest, None]] = field(factory=dict)
-    # Servers that run an isolated request and get no other.
+    # Servers that run an isolated request and must get no other one.
     exclusive: set[str] = field(factory=set)
     # The last crash notice to the control, by server.
     _notices: dict[str, Deferred[Any]] = field(factory=dict)
--- a/ebonybend/entry/server.py
+++ b/ebonybend/entry/server.py
@@ -73,7 +73,7 @@
         return OutgoingAnswer(200, b"ok\n", {"Content-Type": "text/plain"})
 
     async def readyz(self, _incoming: IncomingRequest) -> OutgoingAnswer:
-        """Answer the readiness probe; 503 tells clients to use another instance."""
+        """Answer the readiness probe: 503 if clients should use another instance."""
         reason = self.not_ready_reason()
         status = 503 if reason else 200
         return json_answer(Readiness(not reason, reason), status)
--- a/ebonybend/entry/service.py
+++ b/ebonybend/entry/service.py
@@ -35,7 +35,7 @@
 NANOSECONDS_PER_MS = 1_000_000
 # A push of outcomes must fit; its records alone reach 512 KB.
 MIN_PEER_BODY_BYTES = 1 << 20
-# Longest wait for the last answers to be sent, at the end of a graceful stop.
+# Longest time to send the last answers at the end of a graceful stop.
 CLOSE_TIMEOUT_S = 1.0
 CLOSE_POLL_S = 0.02
 
@@ -154,7 +154,7 @@
         }
 
     def _request_port(self, prefix: str, steer: Any, measured: bool) -> RequestPort:
-        """Return a request port; measured is set for clients' requests only."""
+        """Return a request port; metrics count only the requests of a measured one."""
         return RequestPort(
             prefix,
             self.settings,
@@ -227,7 +227,7 @@
         return self.plane.owner.running + slots + answers
 
     async def hand_over(self) -> None:
-        """Push outcomes to a peer, release the slots and send the last heartbeats."""
+        """Push outcomes, release the slots, send final messages and close the ports."""
         plane = self.plane
         await plane.replicator.wait_for_push()
         sealed = await plane.replicator.seal(plane.registry.seal())
--- a/ebonybend/entry/serving.py
+++ b/ebonybend/entry/serving.py
@@ -24,7 +24,7 @@
 
 @define
 class Activity:
-    """Counts the requests of both ports; a graceful stop waits for them."""
+    """The activity on both ports, which a graceful stop waits for."""
 
     last_request_at: float
     in_flight: int = 0
--- a/ebonybend/entry/stop.py
+++ b/ebonybend/entry/stop.py
@@ -16,7 +16,7 @@
 # Covers the wait for a write's answer past its deadline (WRITE_GRACE_S in dispatch),
 # and the network delay of the answer.
 END_MARGIN_S = 0.5
-# Longest time to push the outcomes and send the last heartbeats.
+# Longest time for the hand-over: pushing the outcomes and sending the last heartbeats.
 HAND_OVER_TIMEOUT_S = 3.0
 
 
@@ -95,7 +95,7 @@
         return not self.activity.in_flight and not self.count_unfinished()
 
     def _lookups_expired(self) -> bool:
-        """Return whether no client can hold a valid lookup that lists this instance."""
+        """Return whether it is idle and all lookups that list this instance expired."""
         last = max(self.activity.last_request_at, self.started_at)
         return (
             self._is_idle() and self.clock.monotonic() - last >= self.lookup_lifetime_s
--- a/ebonybend/entry/table_state.py
+++ b/ebonybend/entry/table_state.py
@@ -19,7 +19,7 @@
 
 
 class TableState:
-    """Holds the newest table and the values derived from it, built once per table."""
+    """Hold the newest table and the values derived from it, built once per table."""
 
     def __init__(
         self, own: str, clock: Clock, wall_clock: Callable[[], float] = time.time
--- a/ebonybend/entry/tests/harness.py
+++ b/ebonybend/entry/tests/harness.py
@@ -219,7 +219,7 @@
         for _ in range(50):
             self.reactor.advance(0.25)
             ledger.tick()
-        # Fresh views: those of the first table have aged meanwhile.
+        # The views of the first table have aged meanwhile.
         self.plane.table_state.apply_reply(TableReply(table(serial=2, **overrides)))
         return self
 
