--- a/ebonybend/entry/budgets.py
+++ b/ebonybend/entry/budgets.py
@@ -82,7 +82,7 @@
             if existing is None or _cap_per_second(rule) < _cap_per_second(existing):
                 rules[name] = rule
         self.bounds = {
-            name: self._bound(name, rule, names) for name, rule in rules.items()
+            name: self._update_bound(name, rule, names) for name, rule in rules.items()
         }
         self._shifts_by_service = {}
         for bound in self.bounds.values():
@@ -93,7 +93,7 @@
                     bound,
                 )
 
-    def _bound(self, name: str, rule: Rule, names: tuple[str, ...]) -> Bound:
+    def _update_bound(self, name: str, rule: Rule, names: tuple[str, ...]) -> Bound:
         """Return a new bound, or the existing one updated from the rule."""
         existing = self.bounds.get(name)
         cap = _cap_per_second(rule)
@@ -126,7 +126,7 @@
             for link in links
         }
 
-    def tick(self) -> None:
+    def advance_ramps(self) -> None:
         """Advance the ramps; called by the heartbeat loop."""
         table = self.table_state.table
         if table is None:
--- a/ebonybend/entry/domains.py
+++ b/ebonybend/entry/domains.py
@@ -51,20 +51,20 @@
 
     def query(self, service: str, history: AttemptHistory) -> DomainQuery:
         """Return the query for a service, without a request's excluded domains."""
-        base = self._cached_query(service)
+        full_query = self._cached_query(service)
         exclude = history.domains
         if history.shifted_to is not None:
-            target = self.domains_in(history.shifted_to)
-            exclude = exclude | {o.domain for o in base.options} - target
+            target_domains = self.domains_in(history.shifted_to)
+            exclude = exclude | {o.domain for o in full_query.options} - target_domains
         if not exclude:
-            return base
+            return full_query
         return DomainQuery(
             service,
-            base.own_domain,
-            base.options,
-            base.latency_weight,
-            base.headroom_weight,
-            base.table_age_ms,
+            full_query.own_domain,
+            full_query.options,
+            full_query.latency_weight,
+            full_query.headroom_weight,
+            full_query.table_age_ms,
             frozenset(exclude),
         )
 
--- a/ebonybend/entry/lookups.py
+++ b/ebonybend/entry/lookups.py
@@ -52,7 +52,7 @@
             raise SteeringError(ErrorKind.NOT_READY, "no table from the control yet")
         ranked = ranker.rank(int(client))
         listed = tuple(
-            self._listed(view)
+            self._list_instance(view)
             for view in ranked
             if not (self.leaving and view.name == self.own)
         )
@@ -60,7 +60,7 @@
             raise SteeringError(ErrorKind.NOT_READY, "no instance is ready")
         return LookupAnswer(listed, self.lifetime_ms)
 
-    def _listed(self, view: InstanceView) -> ListedInstance:
+    def _list_instance(self, view: InstanceView) -> ListedInstance:
         if view.name == self.own:
             prefix = self.own_key_prefix()
         else:
--- a/ebonybend/entry/rules_state.py
+++ b/ebonybend/entry/rules_state.py
@@ -43,7 +43,7 @@
         """Return the rules of a text that are valid at a wall-clock time (seconds)."""
         return cls(compile_rules(text, now))
 
-    def expired(self, now: float) -> bool:
+    def has_expired_rule(self, now: float) -> bool:
         """Return whether a rule's validity has ended."""
         return self.next_expiry is not None and now >= self.next_expiry
 
--- a/ebonybend/entry/service.py
+++ b/ebonybend/entry/service.py
@@ -209,7 +209,7 @@
     def on_tick(self) -> None:
         """Remove expired rules and advance the ramps."""
         self.plane.table_state.refresh_rules()
-        self.plane.budgets.tick()
+        self.plane.budgets.advance_ramps()
 
     def announce_leaving(self) -> None:
         """Announce to clients and the control that this instance is leaving."""
--- a/ebonybend/entry/table_state.py
+++ b/ebonybend/entry/table_state.py
@@ -90,13 +90,13 @@
     def _compile_rules(self, text: str) -> None:
         """Compile the rules if their text has changed or one has expired."""
         now = self.wall_clock()
-        if text != self._rules_text or self.rules.expired(now):
+        if text != self._rules_text or self.rules.has_expired_rule(now):
             self._rules_text = text
             self.rules = RulesInForce.from_text(text, now)
 
     def refresh_rules(self) -> None:
         """Remove the rules whose validity has ended."""
-        if self.table is not None and self.rules.expired(self.wall_clock()):
+        if self.table is not None and self.rules.has_expired_rule(self.wall_clock()):
             self._derive_values(self.table)
             self._notify_listeners()
 
--- a/ebonybend/entry/tests/harness.py
+++ b/ebonybend/entry/tests/harness.py
@@ -81,17 +81,19 @@
 
 
 def backend_answer(status: int = 200, **headers: str) -> HttpAnswer:
-    raw = {name.replace("_", "-"): [value] for name, value in headers.items()}
-    return HttpAnswer(status, Headers({"Content-Type": ["text/x"], **raw}), b"body")
+    header_values = {name.replace("_", "-"): [value] for name, value in headers.items()}
+    return HttpAnswer(
+        status, Headers({"Content-Type": ["text/x"], **header_values}), b"body"
+    )
 
 
 def entry_answer(status: int, outcome: str | None, error: str | None) -> HttpAnswer:
-    raw = {"Served-By": ["far-server"]}
+    header_values = {"Served-By": ["far-server"]}
     if outcome:
-        raw["Ebonybend-Outcome"] = [outcome]
+        header_values["Ebonybend-Outcome"] = [outcome]
     if error:
-        raw["Ebonybend-Error"] = [error]
-    return HttpAnswer(status, Headers(raw), b"far body")
+        header_values["Ebonybend-Error"] = [error]
+    return HttpAnswer(status, Headers(header_values), b"far body")
 
 
 class FakeHttp:
--- a/ebonybend/entry/tests/test_budgets.py
+++ b/ebonybend/entry/tests/test_budgets.py
@@ -65,7 +65,7 @@
         self.apply(cap(8), shift(0.5, 5), cap(1000, "other service"))
         self.assertEqual(0, self.count_admitted()[0])
         self.reactor.advance(20.0)
-        self.budgets.tick()
+        self.budgets.advance_ramps()
         for _ in range(5):
             admitted, kinds = self.count_admitted()
             self.assertEqual(5, admitted)
--- a/ebonybend/entry/tests/test_rules_state.py
+++ b/ebonybend/entry/tests/test_rules_state.py
@@ -34,6 +34,6 @@
         """Guards against a rule that stays in force after its validity has ended."""
         drain = DrainRule(target_kind="backend", name="s1")
         rules = RulesInForce([rule(drain, 20.0), rule(drain, 10.0), rule(drain)])
-        self.assertFalse(rules.expired(9.0))
-        self.assertTrue(rules.expired(10.0))
+        self.assertFalse(rules.has_expired_rule(9.0))
+        self.assertTrue(rules.has_expired_rule(10.0))
         self.assertEqual({"s1"}, rules.drained_servers)
