--- a/ebonybend/entry/answers.py
+++ b/ebonybend/entry/answers.py
@@ -1,4 +1,4 @@
-"""Turn served answers and errors into HTTP answers, and back."""
+"""Convert served answers and errors to HTTP answers and back."""
 
 from ebonybend.entry.requests import ServedAnswer
 from ebonybend.errors import ANSWERS, ErrorKind, Outcome, SteeringError
@@ -8,10 +8,10 @@
 ANSWERED = Outcome.ANSWERED.value
 
 
-def outgoing(
+def outgoing_answer(
     answer: ServedAnswer, request_id: str, pacer: Pacer | None = None
 ) -> OutgoingAnswer:
-    """Return the HTTP answer that passes on a backend server's answer."""
+    """Return a backend server's answer as the HTTP answer to pass on."""
     headers = {
         "Ebonybend-Outcome": ANSWERED,
         "Request-Id": request_id,
@@ -23,11 +23,11 @@
     return OutgoingAnswer(answer.status, answer.body, headers, pacer)
 
 
-def from_entry(answer: HttpAnswer) -> ServedAnswer:
-    """Return the answer that another entry passed on; raise what it refused with."""
+def parse_entry_answer(answer: HttpAnswer) -> ServedAnswer:
+    """Return the answer in another entry's HTTP answer; raise the error it reports."""
     kind = answer.header("Ebonybend-Error")
     if kind is not None:
-        raise _refusal(answer, kind)
+        raise _parse_refusal(answer, kind)
     if answer.header("Ebonybend-Outcome") != ANSWERED:
         raise SteeringError(ErrorKind.ANSWER_LOST, "the other entry gave no outcome")
     return ServedAnswer(
@@ -39,15 +39,15 @@
     )
 
 
-def _refusal(answer: HttpAnswer, kind_name: str) -> SteeringError:
+def _parse_refusal(answer: HttpAnswer, kind_name: str) -> SteeringError:
     try:
         kind = ErrorKind(kind_name)
     except ValueError:
         kind = ErrorKind.OUTCOME_UNKNOWN
-    stated = answer.header("Ebonybend-Outcome")
-    if stated != ANSWERS[kind].outcome.value:
-        # A kind that doesn't fit its outcome comes from another version.
+    reported_outcome = answer.header("Ebonybend-Outcome")
+    if reported_outcome != ANSWERS[kind].outcome.value:
+        # An entry of another version may combine this kind with another outcome.
         kind = ErrorKind.OUTCOME_UNKNOWN
-    retry_after = answer.header("Retry-After-Ms") or ""
-    wait = int(retry_after) if retry_after.isdigit() else None
-    return SteeringError(kind, f"another entry answered {kind_name}", wait)
+    retry_text = answer.header("Retry-After-Ms") or ""
+    retry_after_ms = int(retry_text) if retry_text.isdigit() else None
+    return SteeringError(kind, f"another entry answered {kind_name}", retry_after_ms)
--- a/ebonybend/entry/lookups.py
+++ b/ebonybend/entry/lookups.py
@@ -1,4 +1,4 @@
-"""Answer which entry instances a client should use."""
+"""Answer lookups: which entry instances a client should use."""
 
 from collections.abc import Callable
 from ipaddress import IPv4Address
@@ -12,17 +12,17 @@
 
 @frozen
 class ListedInstance:
-    """An instance in a look-up answer."""
+    """An instance in a lookup answer."""
 
     name: str
     address: str
-    # Start of every idempotency key for this instance.
+    # Prefix of every idempotency key for this instance.
     key_prefix: str
 
 
 @frozen
 class LookupAnswer:
-    """The body of a look-up answer."""
+    """The body of a lookup answer."""
 
     instances: tuple[ListedInstance, ...]
     lifetime_ms: int
@@ -36,13 +36,13 @@
         own: str,
         client_maps: ClientMaps,
         lifetime_ms: int,
-        own_prefix: Callable[[], str],
+        own_key_prefix: Callable[[], str],
     ):
         self.own = own
         self.client_maps = client_maps
         self.lifetime_ms = lifetime_ms
-        self.own_prefix = own_prefix
-        # Set while this instance leaves: it lists only others.
+        self.own_key_prefix = own_key_prefix
+        # Whether this instance is stopping; lookups then list only other instances.
         self.leaving = False
 
     def answer(self, client: IPv4Address) -> LookupAnswer:
@@ -52,7 +52,7 @@
             raise SteeringError(ErrorKind.NOT_READY, "no table from the control yet")
         ranked = ranker.rank(int(client))
         listed = tuple(
-            self._listed(view)
+            self._list_instance(view)
             for view in ranked
             if not (self.leaving and view.name == self.own)
         )
@@ -60,9 +60,9 @@
             raise SteeringError(ErrorKind.NOT_READY, "no instance is ready")
         return LookupAnswer(listed, self.lifetime_ms)
 
-    def _listed(self, view: InstanceView) -> ListedInstance:
+    def _list_instance(self, view: InstanceView) -> ListedInstance:
         if view.name == self.own:
-            prefix = self.own_prefix()
+            prefix = self.own_key_prefix()
         else:
             prefix = f"{view.name}~{view.incarnation}~{view.key_epoch}"
         return ListedInstance(view.name, view.public_address, prefix)
--- a/ebonybend/entry/service.py
+++ b/ebonybend/entry/service.py
@@ -15,7 +15,7 @@
 from ebonybend.entry.data_plane import DataPlane
 from ebonybend.entry.heartbeats import HeartbeatLoop
 from ebonybend.entry.hops import HOP_PREFIX, OWNER_PREFIX
-from ebonybend.entry.lending import LendingLoop
+from ebonybend.entry.lending import LeaseLoop
 from ebonybend.entry.lookups import InstanceLookups
 from ebonybend.entry.peer_server import PeerServer
 from ebonybend.entry.reports import Reporter
@@ -33,15 +33,15 @@
 
 MS = 1000.0
 NANOSECONDS_PER_MS = 1_000_000
-# Room for a push of outcomes, whose records alone reach 512 KB.
+# A push of outcomes must fit; its records alone reach 512 KB.
 MIN_PEER_BODY_BYTES = 1 << 20
-# Longest time to send the last answers after everything else has ended.
+# Longest time to send the last answers at the end of a graceful stop.
 CLOSE_TIMEOUT_S = 1.0
 CLOSE_POLL_S = 0.02
 
 
 class EntryService:
-    """One entry process: ports, loops and the data plane."""
+    """One entry process: its ports, periodic loops and data plane."""
 
     def __init__(self, reactor: Any, settings: Settings):
         self.reactor = reactor
@@ -51,7 +51,7 @@
         self.exit_status = 0
         self._ended = False
         self.ports: list[Any] = []
-        # Wall time makes it larger than that of any earlier process of this instance.
+        # Wall-clock time: larger than that of any earlier process of this instance.
         incarnation = time_ns() // NANOSECONDS_PER_MS
         self.http = HttpClient(reactor, settings.source_address)
         self.plane = DataPlane(
@@ -61,7 +61,7 @@
             self.http,
             incarnation,
             self.random,
-            self.push_notice,
+            self.send_crash_notice,
         )
         self.activity = Activity(self.clock.monotonic())
         self._build_loops()
@@ -71,7 +71,7 @@
             settings,
             self.clock,
             self.activity,
-            self.unfinished,
+            self.count_unfinished,
             self.announce_leaving,
             self.plane.registry.close,
             lambda: Deferred.fromCoroutine(self.hand_over()),
@@ -94,7 +94,7 @@
             self.reactor,
             settings.control_listen,
             self.reporter.report,
-            plane.table_state.accept,
+            plane.table_state.apply_reply,
         )
         self.client_maps = ClientMaps(plane.table_state, self.control.fetch_shard)
         self.heartbeats = HeartbeatLoop(
@@ -105,7 +105,7 @@
             plane.peers,
             self.on_tick,
         )
-        self.lending = LendingLoop(
+        self.lease_loop = LeaseLoop(
             self.reactor,
             self.clock,
             plane.table_state,
@@ -122,9 +122,11 @@
             settings.lookup_lifetime_ms,
             lambda: str(plane.registry.prefix()),
         )
-        callers = self._port(SERVICE_PREFIX, plane.steering.from_client, True)
-        self.caller_server = ClientServer(
-            callers,
+        client_port = self._request_port(
+            SERVICE_PREFIX, plane.steering.from_client, True
+        )
+        self.client_server = ClientServer(
+            client_port,
             self.lookups,
             plane.metrics,
             self.not_ready_reason,
@@ -132,16 +134,16 @@
         )
         self.peer_server = PeerServer(
             plane.ledger,
-            self.lending,
-            plane.store,
+            self.lease_loop,
+            plane.outcome_store,
             plane.budgets,
-            self._port(HOP_PREFIX, plane.steering.from_hop, False),
-            self._port(OWNER_PREFIX, plane.steering.from_owner_hop, False),
+            self._request_port(HOP_PREFIX, plane.steering.from_hop, False),
+            self._request_port(OWNER_PREFIX, plane.steering.from_owner_hop, False),
         )
         self.sites = {
             "public_listen": HttpSite(
                 self.reactor,
-                self.caller_server.handle,
+                self.client_server.handle,
                 self._limits(settings.max_body_bytes),
             ),
             "peer_listen": HttpSite(
@@ -151,17 +153,17 @@
             ),
         }
 
-    def _port(self, prefix: str, steer: Any, measured: bool) -> RequestPort:
-        """Return a request port; only callers' requests are measured."""
+    def _request_port(self, prefix: str, steer: Any, measured: bool) -> RequestPort:
+        """Return a request port; metrics count only the requests of a measured one."""
         return RequestPort(
             prefix,
             self.settings,
             self.clock,
             self.activity,
             steer,
-            self._note_answer if measured else lambda *_: None,
-            self._note_refusal if measured else lambda _: None,
-            asks_owner=prefix != HOP_PREFIX,
+            self._record_answer if measured else lambda *_: None,
+            self._record_refusal if measured else lambda _: None,
+            routes_by_key=prefix != HOP_PREFIX,
         )
 
     def _limits(self, max_body_bytes: int) -> HttpLimits:
@@ -171,13 +173,13 @@
             receive_timeout_s=self.settings.receive_timeout_ms / MS,
         )
 
-    def _note_answer(
+    def _record_answer(
         self, request: SteeredRequest, answer: ServedAnswer, seconds: float
     ) -> None:
-        self.plane.metrics.answered(request.service, answer.region, seconds)
+        self.plane.metrics.record_answer(request.service, answer.region, seconds)
 
-    def _note_refusal(self, error: SteeringError) -> None:
-        self.plane.metrics.refused(error.kind)
+    def _record_refusal(self, error: SteeringError) -> None:
+        self.plane.metrics.record_refusal(error.kind)
 
     def start(self) -> None:
         """Listen and start the loops."""
@@ -189,55 +191,55 @@
             loop.add_signal_handler(number, self.stop.request)
         self.control.start()
         self.heartbeats.start()
-        self.lending.start()
+        self.lease_loop.start()
         get_logger().info("entry_started", incarnation=self.plane.registry.incarnation)
 
     def not_ready_reason(self) -> str:
-        """Return why callers should not use this instance, or an empty text."""
+        """Return why clients should not use this instance, or an empty text."""
         if self.stop.stopping:
             return "this instance stops"
         if self.plane.table_state.table is None:
             return "no table from the control yet"
         return ""
 
-    def push_notice(self) -> Deferred[Any]:
+    def send_crash_notice(self) -> Deferred[Any]:
         """Send a crash notice to the control."""
         return self.control.report_now()
 
     def on_tick(self) -> None:
-        """Do the periodic work that needs no message."""
+        """Remove expired rules and advance the ramps."""
         self.plane.table_state.refresh_rules()
-        self.plane.budgets.tick()
+        self.plane.budgets.advance_ramps()
 
     def announce_leaving(self) -> None:
-        """Tell callers and the control to use other instances from now on."""
+        """Announce to clients and the control that this instance is leaving."""
         self.lookups.leaving = True
         self.reporter.state = LifeState.LEAVING
         for site in self.sites.values():
             site.closing = True
         self.control.report_now()
 
-    def unfinished(self) -> int:
-        """Return the keys, slots and answers that are still in use."""
+    def count_unfinished(self) -> int:
+        """Return the number of keys, slots and answers still in use."""
         ledger = self.plane.ledger
         slots = sum(ledger.in_flight(server) for server in ledger.servers)
         answers = sum(site.running for site in self.sites.values())
         return self.plane.owner.running + slots + answers
 
     async def hand_over(self) -> None:
-        """Hand outcomes to a peer, release the slots and tell the other members."""
+        """Push outcomes, release the slots, send final messages and close the ports."""
         plane = self.plane
-        await plane.replicator.settled()
+        await plane.replicator.wait_for_push()
         sealed = await plane.replicator.seal(plane.registry.seal())
         plane.ledger.release()
-        await self.heartbeats.send(again=True)
+        await self.heartbeats.send(force=True)
         released = plane.ledger.is_released()
         get_logger().info("handed_over", sealed=sealed, released=released)
         await self.control.report_now()
         await self._close_ports()
 
     async def _close_ports(self) -> None:
-        """Close the connections once their last answers are sent."""
+        """Close the ports, and the connections once their last answers are sent."""
         for port in self.ports:
             await maybeDeferred(port.stopListening)
         until = self.clock.monotonic() + CLOSE_TIMEOUT_S
@@ -252,12 +254,12 @@
         """End the process."""
         self.exit_status = status
         self.heartbeats.stop()
-        self.lending.stop()
+        self.lease_loop.stop()
         self.plane.replicator.stop()
         self.control.stop()
         if not self._ended:
             self._ended = True
-            # One more turn of the loop lets the channel close.
+            # One more iteration of the event loop lets the channel close.
             self.reactor.callLater(0, self.reactor.stop)
 
 
--- a/ebonybend/entry/tests/test_rules_state.py
+++ b/ebonybend/entry/tests/test_rules_state.py
@@ -10,7 +10,7 @@
 
 
 class RefuseTest(TestWithScenarios, TestCase):
-    """Guards against requests that get past a refuse rule, or are refused wrongly."""
+    """Guards against requests that bypass a refuse rule or are refused wrongly."""
 
     scenarios = [
         (name, {"asked": asked, "refused": refused})
@@ -26,14 +26,14 @@
     def test_refuses(self):
         body = RefuseRule(service="rides", path="/export", method="GET")
         rules = RulesInForce([rule(body)])
-        self.assertIs(self.refused, rules.refuses(*self.asked) is not None)
+        self.assertIs(self.refused, rules.find_refusal(*self.asked) is not None)
 
 
 class ValidityTest(TestCase):
-    def test_the_first_end_counts(self):
-        """Guards against a rule that stays in force after its end."""
+    def test_the_earliest_expiry_counts(self):
+        """Guards against a rule that stays in force after its validity has ended."""
         drain = DrainRule(target_kind="backend", name="s1")
         rules = RulesInForce([rule(drain, 20.0), rule(drain, 10.0), rule(drain)])
-        self.assertFalse(rules.expired(9.0))
-        self.assertTrue(rules.expired(10.0))
+        self.assertFalse(rules.has_expired_rule(9.0))
+        self.assertTrue(rules.has_expired_rule(10.0))
         self.assertEqual({"s1"}, rules.drained_servers)
