--- a/ebonybend/node/__init__.py
+++ b/ebonybend/node/__init__.py
@@ -1,1 +1,1 @@
-"""One process on each machine: callers' port, directory, membership and forwarding."""
+"""The node process on each machine: forwarding, client directory and membership."""
--- a/ebonybend/node/backend_connection.py
+++ b/ebonybend/node/backend_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend server, which carries one request at a time."""
+"""A connection to a backend server, which carries one request at a time."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -14,30 +14,31 @@
 from twisted.web.http import PotentialDataLoss
 from twisted.web.http_headers import Headers
 
-# Answers to earlier requests that are skipped before the connection is given up.
+# Late answers to earlier requests that are skipped before the connection is closed.
 MOST_SKIPPED = 2
-# A request that a server has not acknowledged for this time, in milliseconds, is lost:
-# three transmissions on the longest way, and less than most callers wait.
+# A request is lost if the server's kernel doesn't acknowledge it within this time: long
+# enough for three transmissions on the slowest link, and below most client deadlines.
 SILENT_AFTER_MS = 1000
-# Part of that time from which on a loss is taken for silence; a reset comes sooner.
+# Fraction of that time from which on a lost connection counts as unacknowledged; a
+# reset arrives sooner.
 SILENT_PART = 0.9
 
 
 class Loss(Enum):
-    """Why a request that was sent got no whole answer."""
+    """Why a request that was sent got no complete answer."""
 
-    # The connection ended.
+    # The connection was closed or reset.
     CLOSED = "closed"
-    # The server did not even acknowledge the request.
+    # The server's kernel didn't acknowledge the request.
     SILENT = "silent"
-    # The bytes received are no answer to this request.
+    # The received bytes are not an answer to this request.
     GARBLED = "garbled"
-    # This node ended the connection.
+    # This node closed the connection.
     ABORTED = "aborted"
 
 
 class AnswerNotReceived(Exception):
-    """A request was sent and no whole answer to it came; it may have run."""
+    """A request was sent but no complete answer arrived; it may have run."""
 
     def __init__(self, loss: Loss):
         super().__init__(loss.value)
@@ -46,7 +47,7 @@
 
 @frozen
 class BackendAnswer:
-    """A whole answer of a backend server."""
+    """A complete answer of a backend server."""
 
     status: int
     headers: Headers
@@ -55,7 +56,7 @@
 
 @define
 class _Method:
-    """The part of a request that the parser asks for."""
+    """The attributes of a request that the parser reads."""
 
     method: bytes
     absoluteURI: None = None  # noqa: N815
@@ -63,7 +64,7 @@
 
 
 class _Unpaced:
-    """Stands for the transport where the parser would pause it."""
+    """A transport for the parser, without flow control."""
 
     disconnecting = False
 
@@ -74,7 +75,7 @@
         """Do nothing; bodies are read as they arrive."""
 
     def loseConnection(self) -> None:
-        """Do nothing; the connection decides itself when it closes."""
+        """Do nothing; BackendConnection decides when to close."""
 
 
 class _Body(Protocol):
@@ -92,7 +93,7 @@
 
 
 class BackendConnection(Protocol):
-    """Send requests one after the other and match each with its own answer."""
+    """Send requests one at a time and match each with its own answer."""
 
     def __init__(
         self,
@@ -103,14 +104,14 @@
         self.request_id_header = request_id_header
         self.clock = clock
         self.sent_at = 0.0
-        # Whether any byte came since the request was sent.
+        # Whether any byte arrived since the request was sent.
         self.heard = False
-        # Called when the connection can take another request.
+        # Called when the connection can carry another request.
         self.on_free = on_free
         self.usable = True
         self.requests = 0
         self.idle_since = 0.0
-        # Idle time after which the server closes, if its last answer told it.
+        # Idle timeout that the server stated in its last answer, in seconds.
         self.keep_s: float | None = None
         self.waiting: Deferred[BackendAnswer] | None = None
         self.parser: HTTPClientParser | None = None
@@ -119,13 +120,13 @@
         self.skipped = 0
         # Whether the connection has ended.
         self.lost = False
-        # An answer without a length, received until the connection ended.
+        # An answer without a length, which ends with the connection.
         self.unframed: BackendAnswer | None = None
 
     def send(
         self, method: bytes, request_id: bytes, data: bytes
     ) -> Deferred[BackendAnswer]:
-        """Send a whole request; cancelling the result ends the connection."""
+        """Send a request; cancelling the result closes the connection."""
         self.method = method
         self.request_id = request_id
         self.skipped = 0
@@ -138,7 +139,7 @@
         return self.waiting
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         self.usable = False
         if self.transport is not None:
             self.transport.abortConnection()
@@ -153,7 +154,7 @@
     def _parsed(self, rest: bytes) -> None:
         self.rest = rest
         if self.parser.bodyDecoder is not None and not self.lost:
-            # Tells the body's protocol that the body is whole.
+            # Reports to the body's protocol that the body is complete.
             self.parser.response._bodyDataFinished()
 
     def _head(self, response: Any) -> None:
@@ -169,9 +170,8 @@
         response.deliverBody(_Body(ended))
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in bytes; close if no request is waiting for them."""
+        """Parse received bytes; close the connection if no request is waiting."""
         if self.waiting is None:
-            # Bytes that no request asked for.
             self.close()
             return
         self.heard = True
@@ -190,7 +190,7 @@
             self._feed(rest)
 
     def _whole(self, answer: BackendAnswer, parser: HTTPClientParser) -> None:
-        """Take a complete answer: the awaited one, or a late one to skip."""
+        """Deliver a complete answer, or skip it if it belongs to an earlier request."""
         if self.waiting is None:
             return
         found = answer.headers.getRawHeaders(self.request_id_header)
@@ -220,7 +220,7 @@
             waiting.errback(AnswerNotReceived(loss))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Fail the waiting request unless its answer was to end this way."""
+        """Fail the waiting request, unless the close completes its answer."""
         self.usable = False
         self.lost = True
         if self.waiting is None:
@@ -240,7 +240,7 @@
             self._fail(Loss.SILENT if self._is_silent(reason) else Loss.CLOSED)
 
     def _is_silent(self, reason: Failure) -> bool:
-        """Tell whether the kernel gave up a server that acknowledges nothing."""
+        """Return whether the connection ended for lack of acknowledgements."""
         if self.heard or reason.check(ConnectionDone):
             return False
         waited_ms = (self.clock() - self.sent_at) * 1000
@@ -255,7 +255,7 @@
 
 
 def _keep_alive_s(headers: Headers) -> float | None:
-    """Return the idle time that the header Keep-Alive states."""
+    """Return the idle timeout that the Keep-Alive header states."""
     for value in headers.getRawHeaders(b"Keep-Alive") or ():
         for part in value.split(b","):
             name, _, number = part.strip().partition(b"=")
--- a/ebonybend/node/backend_pool.py
+++ b/ebonybend/node/backend_pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers, kept open between requests."""
+"""Pool of idle connections to backend servers."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -16,40 +16,42 @@
 from ebonybend.sockets import detect_silence
 from ebonybend.world import BackendServer
 
-# A kept connection is not used after this time; servers that state no idle time-out
-# commonly close after 5 s.
+# Longest idle time after which a connection is reused. Servers that state no idle
+# timeout commonly close after 5 s.
 MOST_IDLE_S = 4.0
-# Part of a stated idle time-out after which a connection is not used; the rest covers
-# the way to the server.
+# Fraction of a stated idle timeout for which a connection is reused; the rest covers
+# the latency to the server.
 IDLE_PART = 0.6
-# The same for a request that must not be sent twice.
+# The same for a request that isn't idempotent, since it can't be retried when the
+# server closes the connection.
 MOST_IDLE_SINGLE_S = 2.0
-# Time for a connection to come about, several round trips between regions.
+# Several round trips between regions.
 CONNECT_TIMEOUT_S = 0.6
 
 
-# A server may start again under its name, also at another address.
+# Name, address and start time; a server may restart under its name, also at another
+# address.
 Process = tuple[str, str, int]
 
 
 def process_of(server: BackendServer) -> Process:
-    """Return what tells one start of a server from another."""
+    """Return the key that identifies one process of a server."""
     return server.name, server.address, server.started_ms
 
 
 class Unreachable(Exception):
-    """No connection came about, so nothing was sent."""
+    """No connection could be used, so nothing was sent."""
 
     def __init__(self, message: str, refused: bool, at_fault: bool = True):
         super().__init__(message)
-        # Whether it speaks against the server.
+        # Whether the failure counts against the server.
         self.at_fault = at_fault
-        # The address refused the connection, so no server listens on it.
+        # Whether the address refused the connection, so no server listens on it.
         self.refused = refused
 
 
 class BackendPool:
-    """Idle connections by server; the one used last is taken first."""
+    """Idle connections by server; the most recently used is acquired first."""
 
     def __init__(self, reactor: Any, request_id_header: bytes):
         self.reactor = reactor
@@ -58,7 +60,7 @@
         self.opened = 0
 
     def take(self, server: BackendServer, single: bool) -> BackendConnection | None:
-        """Return a kept connection, or None."""
+        """Return an idle connection, or None."""
         kept = self.idle.get(process_of(server))
         now = self.reactor.seconds()
         while kept:
@@ -71,7 +73,7 @@
         return None
 
     async def connect(self, server: BackendServer) -> BackendConnection:
-        """Return a new connection; raise Unreachable if none comes about."""
+        """Open a connection; raise Unreachable on failure."""
         host, _, port = server.address.rpartition(":")
         endpoint = TCP4ClientEndpoint(self.reactor, host, int(port), CONNECT_TIMEOUT_S)
         factory = Factory.forProtocol(BackendConnection)
@@ -86,7 +88,7 @@
         except ConnectionRefusedError as error:
             raise Unreachable(str(error), True) from error
         except ConnectingCancelledError as error:
-            # The endpoint reports a cancelled attempt by an error of its own.
+            # The endpoint reports a cancelled attempt as an error of its own.
             raise CancelledError from error
         except (ConnectError, OSError) as error:
             raise Unreachable(str(error), False) from error
@@ -103,14 +105,14 @@
         return keep
 
     def retain(self, servers: Iterable[BackendServer]) -> None:
-        """Close the idle connections to servers that are no longer used."""
+        """Close the idle connections to all other servers."""
         kept = {process_of(server) for server in servers}
         for process in self.idle.keys() - kept:
             for connection in self.idle.pop(process):
                 connection.close()
 
     def sweep(self) -> None:
-        """Close the connections that are too old to be used."""
+        """Close the connections that were idle for too long."""
         now = self.reactor.seconds()
         for process, kept in self.idle.items():
             fresh = []
--- a/ebonybend/node/beats.py
+++ b/ebonybend/node/beats.py
@@ -1,4 +1,4 @@
-"""Datagrams between nodes: who is here and which versions are known."""
+"""Heartbeats: datagrams between nodes that report their state and versions."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class BeatPort(DatagramProtocol):
-    """Send a beat to other nodes once per period, and take in theirs."""
+    """Send heartbeats to other nodes and record theirs."""
 
     def __init__(
         self,
@@ -23,17 +23,17 @@
         on_beat: Callable[[Beat], None],
     ):
         self.members = members
-        # Returns what is told in the own region (True) or elsewhere.
+        # Returns the heartbeat for nodes of the own region (True) or of others.
         self.own_beat = own_beat
         self.clock = clock
         self.on_beat = on_beat
 
     def send(self) -> None:
-        """Send this node's beat to those whose turn it is."""
+        """Send a heartbeat to the recipients of this period."""
         self._send(*self.members.recipients())
 
     def send_to_all(self) -> None:
-        """Send this node's beat to all others."""
+        """Send a heartbeat to all other nodes."""
         self._send(*self.members.by_distance())
 
     def _send(self, near: Iterable[Member], far: Iterable[Member]) -> None:
@@ -51,7 +51,7 @@
                 get_logger().info("beat_not_sent", peer=member.name, error=str(error))
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        """Take in a beat."""
+        """Decode and record a heartbeat."""
         try:
             beat = unpack(datagram, Beat)
         except SteeringError as error:
--- a/ebonybend/node/caller_requests.py
+++ b/ebonybend/node/caller_requests.py
@@ -1,4 +1,4 @@
-"""Requests of callers on their way through a node."""
+"""Client requests that a node is handling."""
 
 from attrs import define
 from twisted.web.http_headers import Headers
@@ -20,20 +20,20 @@
     service: str
     object_key: bytes
     arrived_at: float
-    # Time after which the caller gets no use of an answer.
+    # Time after which the client no longer waits for an answer.
     deadline: float
-    # The most urgent route of the service, if it goes before this one.
+    # The most urgent route of the service, if it is more urgent than this one.
     urgent_route: Route | None
-    # Whether the caller comes back after a refusal.
+    # Whether the client retries after a refusal.
     returned: bool = False
-    # Configuration by which the route was found.
+    # Version of the configuration by which the route was found.
     config_version: int = 0
-    # Region that takes the object.
+    # Region to which the object is assigned.
     region: str = ""
     sends: int = 0
-    # Server to which it was sent last.
+    # Server to which the request was sent last.
     server: str = ""
-    # Estimated requests on that server, before this one.
+    # Estimated number of requests on that server, without this one.
     load: float = 0.0
     # Whether a server may have run the request.
     may_have_run: bool = False
--- a/ebonybend/node/callers.py
+++ b/ebonybend/node/callers.py
@@ -1,4 +1,4 @@
-"""The callers' port: find the route of a request and forward it."""
+"""The port for clients: find the route of a request and forward it."""
 
 from collections.abc import Callable
 from typing import Any
@@ -16,18 +16,18 @@
 from ebonybend.node.routing_state import RoutingState
 from ebonybend.node.wire import CallerHeaders, Wire
 
-# Deadline of a request that states none and whose route has no time-out.
+# Deadline of a request that states none and whose route has no timeout.
 DEFAULT_DEADLINE_S = 10.0
-# Time in which a starting node has usually read the store.
+# Retry delay sent while the node starts; it usually has read the store by then.
 NOT_READY_PAUSE_MS = 300
-# A suspect's content may be that of an innocent request, so its caller may come back.
+# A status that allows a retry, because an innocent request may match a suspect.
 SUSPECT_STATUS = 503
-# Headers of an answer that the node's own server writes.
+# Answer headers that the node's own HTTP server writes.
 OWN_HEADERS = CONNECTION_HEADERS | {b"date", b"server"}
 
 
 class CallerPort:
-    """Answer the requests of callers."""
+    """Handle client requests."""
 
     def __init__(
         self,
--- a/ebonybend/node/decisions.py
+++ b/ebonybend/node/decisions.py
@@ -1,4 +1,4 @@
-"""One log line for each decision on a request, bounded in lines a second."""
+"""One log line for each request, limited in lines per second."""
 
 from collections.abc import Callable
 
@@ -7,15 +7,15 @@
 from ebonybend.node.caller_requests import CallerRequest
 from ebonybend.node.wire import CallerHeaders
 
-# Lines a second of ordinary answers, and of refusals and failures. A line costs about
-# 20 us, so both together stay below 1% of a core.
+# Lines per second for successful answers, and for refusals and failures. A line costs
+# about 20 us, so both together stay below 1% of a core.
 MOST_ANSWERS_PER_S = 50
 MOST_FAILURES_PER_S = 200
 FAILED_STATUS = 500
 
 
 class LineBudget:
-    """Allow a number of lines in each second and count the rest."""
+    """Limit the lines in each second and count those over the limit."""
 
     def __init__(self, per_s: int):
         self.per_s = per_s
@@ -41,7 +41,7 @@
 
 
 class DecisionLog:
-    """Log how each request ended, failures before ordinary answers."""
+    """Log the outcome of requests, with a larger limit for failures."""
 
     def __init__(self, clock: Callable[[], float], file: LossyFile):
         self.clock = clock
@@ -57,7 +57,7 @@
         seconds: float,
         error: SteeringError | None,
     ) -> None:
-        """Log the end of a request; status 0 says that the caller left."""
+        """Log the outcome of a request; status 0 means that the client disconnected."""
         failed = error is not None or status >= FAILED_STATUS or status == 0
         budget = self.failures if failed else self.answers
         if not budget.allow(self.clock()):
@@ -87,7 +87,7 @@
         )
 
     def report_dropped(self) -> None:
-        """Log how many lines were left out since the last report."""
+        """Log how many lines were dropped since the last report."""
         answers, failures = self.answers.take_dropped(), self.failures.take_dropped()
         unread, self.file.dropped = self.file.dropped, 0
         if answers or failures or unread:
--- a/ebonybend/node/demand.py
+++ b/ebonybend/node/demand.py
@@ -1,4 +1,4 @@
-"""The demand for each service here and at other nodes, and where objects go."""
+"""The demand for each service by region, and the traffic shares that follow from it."""
 
 from collections.abc import Callable, Collection, Mapping
 
@@ -16,12 +16,12 @@
 from ebonybend.steering.service_times import ServiceTimes
 from ebonybend.world.route import Route
 
-# Change of a share that is worth a line.
+# Smallest change of a traffic share that is logged.
 LOGGED_CHANGE = 0.05
 
 
 class RegionSteering:
-    """Meter the demand and keep the shares of the regions for each service."""
+    """Meter the demand and compute the traffic share of each region by service."""
 
     def __init__(
         self,
@@ -42,16 +42,16 @@
         self.clock = clock
         self.meters: dict[str, DemandMeter] = {}
         self.shares: dict[str, RegionShares] = {}
-        # Slots of the own region by service.
+        # Detector of lost slots in the own region by service.
         self.slots: dict[str, LostSlots] = {}
-        # Shares of before the start, in use until requests come.
+        # Traffic shares from before the restart, in use until requests arrive.
         self.restored: dict[str, dict[str, float]] = {}
-        # Services that got requests since the last update.
+        # Services that received requests since the last update.
         self.used: set[str] = set()
         self.logged: dict[str, dict[str, float]] = {}
 
     def arrived(self, route: Route, service: str) -> None:
-        """Count a request of a caller."""
+        """Add a client request to the demand."""
         self.used.add(service)
         seconds = self.times.warm_time(route.name)
         meter = self.meters.get(service)
@@ -65,38 +65,41 @@
         return {name: meter.read(now) for name, meter in self.meters.items()}
 
     def region_of(self, service: str, object_key: bytes) -> str:
-        """Return the region that takes an object."""
+        """Return the region to which an object is assigned."""
         shares = self.shares.get(service)
         return self.region if shares is None else shares.region_of(object_key)
 
     def restore(self, shares: Mapping[str, Mapping[str, float]]) -> None:
-        """Begin with shares of before the start, where objects are warm."""
+        """Start with the traffic shares from before the restart.
+
+        Objects are still warm in the regions that these shares assign.
+        """
         for service, parts in shares.items():
             if service not in self.meters:
                 self.restored[service] = dict(parts)
                 self.shares[service] = RegionShares(self.region, dict(parts))
 
     def current_shares(self) -> dict[str, dict[str, float]]:
-        """Return the shares in use by service."""
+        """Return the traffic shares in use by service."""
         return {service: dict(s.shares) for service, s in self.shares.items()}
 
     def update(self) -> None:
-        """Let the shares follow the demands that are known now."""
+        """Move the traffic shares toward those that the known demands require."""
         now = self.clock()
         demands = self._demands(now)
         used, self.used = self.used, set()
         for service in used:
             self.restored.pop(service, None)
         for service in self.table.by_service:
-            # Shares that were restored are those by which objects are warm, so they
-            # are kept like those of a service in use.
+            # Objects are warm by the restored shares, so these change as slowly as
+            # those of a service in use.
             in_use = service in used or service in self.restored
             self._follow(service, demands.get(service, {}), in_use, now)
 
     def _follow(
         self, service: str, demand: Mapping[str, float], in_use: bool, now: float
     ) -> None:
-        """Let the shares of one service follow its demand."""
+        """Move the traffic shares of one service toward its target."""
         capacity = capacity_by_region(self.table, service, now)
         target = self._target(service, demand, capacity)
         slots = slots_in(self.table, service, self.region, now)
@@ -108,7 +111,7 @@
     def _target(
         self, service: str, demand: Mapping[str, float], capacity: Mapping[str, float]
     ) -> Mapping[str, float]:
-        """Return the shares to go to."""
+        """Return the target shares of a service."""
         restored = self.restored.get(service)
         if restored is not None:
             return restored
@@ -123,7 +126,7 @@
         demand: Mapping[str, float],
         capacity: Mapping[str, float],
     ) -> None:
-        """Log shares that differ clearly from those logged last."""
+        """Log traffic shares that differ clearly from those logged last."""
         known = self.logged.get(service, {self.region: 1.0})
         names = {*known, *shares}
         if all(abs(known.get(n, 0) - shares.get(n, 0)) < LOGGED_CHANGE for n in names):
@@ -138,7 +141,7 @@
         )
 
     def region_demand(self) -> dict[str, float]:
-        """Return the demand at the nodes of the own region by service."""
+        """Return the demand at all live nodes of the own region by service."""
         found = self.own_demand()
         for beat in self.members.fresh_beats(self.region, self.clock()):
             for service, hundredths in beat.demand.items():
@@ -146,7 +149,10 @@
         return found
 
     def _demands(self, now: float) -> Mapping[str, dict[str, float]]:
-        """Return the demand by service and region."""
+        """Return the demand by service and region.
+
+        For another region this is the total in its most recent heartbeat.
+        """
         told = {self.region: self.region_demand()}
         for region in self.all_regions():
             beats = self.members.fresh_beats(region, now)
--- a/ebonybend/node/followed.py
+++ b/ebonybend/node/followed.py
@@ -1,4 +1,4 @@
-"""The state that a node follows in the store: routing, servers, evacuations, nodes."""
+"""The state that a node watches in the store: routing, servers, evacuations, nodes."""
 
 from collections.abc import Callable, Mapping
 from random import Random
@@ -16,28 +16,28 @@
 from ebonybend.store.watcher import Watcher
 from ebonybend.world import BackendServer
 
-# Added to the time after which lapsed servers are looked at again.
+# Added to the retention time of expired servers before the list is evaluated again.
 MARGIN_S = 0.05
-# Position of the watch on servers.
+# Index of the watch on servers.
 SERVERS = 1
-# Changes that follow one another within this time are read in one call.
+# Changes within this time of one another are read in one call.
 GATHER_S = 0.4
-# The same for the list of nodes, which beats tell sooner.
+# The same for the list of nodes, whose changes heartbeats report sooner.
 GATHER_NODES_S = 1.0
-# Long, because each answer without a change is a call; a dead watch is found by
-# keep-alive probes and by other nodes' beats.
+# Long, because each answer without a change costs a call; a dead watch is detected by
+# keep-alive probes and by other nodes' heartbeats.
 WATCH_TIMEOUT_MS = 25_000
-# A store that is back is noticed after this time; changes are to be in force 2.5 s
-# after they are made.
+# Bounds the delay until a recovered store is noticed; changes must take effect within
+# 2.5 s.
 LONGEST_BACKOFF_S = 0.8
 
 
 def _ignore() -> None:
-    """Do nothing on the return of the store."""
+    """Do nothing when the store has recovered."""
 
 
 class FollowedState:
-    """Follow the store's objects and apply each change."""
+    """Watch the store's objects and apply each change."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         self.on_list = on_list
         self.lapsed = LapsedServers()
         self.lag = LagDetector()
-        # Version of each server's entry, and what it holds.
+        # Version of each server's entry, and the decoded server.
         self.decoded: dict[str, tuple[int, BackendServer | None]] = {}
         self.watchers = [
             Watcher(
@@ -85,17 +85,17 @@
         ]
 
     def start(self) -> None:
-        """Follow the store until stopped."""
+        """Watch the store until stopped."""
         for watcher in self.watchers:
             watcher.start()
 
     def stop(self) -> None:
-        """Follow the store no more."""
+        """Stop watching the store."""
         for watcher in self.watchers:
             watcher.stop()
 
     def is_complete(self) -> bool:
-        """Tell whether routing, servers and evacuations are known."""
+        """Return whether routing, servers and evacuations are known."""
         listed = all(
             watcher.version is not None or watcher.last_contact is not None
             for watcher in self.watchers[: SERVERS + 2]
@@ -107,14 +107,16 @@
         return {watcher.kind: watcher.newest for watcher in self.watchers}
 
     def followed_s(self) -> float:
-        """Return the time for which the list of servers was answered; 0 if it isn't."""
+        """Return for how long the watch on servers has been answered; 0 if it fails."""
         since = self.watchers[SERVERS].answered_since
         return 0.0 if since is None else self.reactor.seconds() - since
 
     def compare(self, beat: Beat) -> None:
-        """List anew what another node knows a newer version of, if that lasts.
+        """Compare the own state of the store with that of a heartbeat.
 
-        Drop missing servers that would be back, had the store been away.
+        Lists a kind again if the own version stays older than the reported one. Drops
+        expired servers early if the other node's contact with the store shows that
+        they were removed.
         """
         now = self.reactor.seconds()
         if beat.followed_s and self.lapsed.left_s(now):
@@ -136,7 +138,7 @@
     def on_config(
         self, _kind: str, _version: int, objects: Mapping[str, StoredObject]
     ) -> None:
-        """Take in the configuration."""
+        """Apply the routing configuration."""
         stored = objects.get(self.documents.config_name)
         if stored is None:
             return
@@ -150,7 +152,7 @@
     def on_servers(
         self, _kind: str, version: int, objects: Mapping[str, StoredObject]
     ) -> None:
-        """Take in the list of backend servers."""
+        """Apply the list of backend servers."""
         decoded = (self._decode_server(stored) for stored in objects.values())
         listed = {server.name: server for server in decoded if server is not None}
         self.decoded = {name: self.decoded[name] for name in objects}
@@ -180,7 +182,7 @@
             get_logger().info("server_gone", server=name, revision=version)
 
     def _decode_server(self, stored: StoredObject) -> BackendServer | None:
-        """Return a server; only an object that changed is decoded."""
+        """Return a server; decode its entry only if it changed."""
         known = self.decoded.get(stored.name)
         if known is None or known[0] != stored.version:
             regions = self.settings().regions
@@ -189,18 +191,18 @@
         return known[1]
 
     def forget_decoded(self) -> None:
-        """Decode all servers anew, because the regions of failure domains changed."""
+        """Decode all servers again, because the regions of failure domains changed."""
         self.decoded.clear()
         self.relist()
 
     def on_return(self) -> None:
-        """Keep servers in use whose entries lapsed while the store was away."""
+        """Retain servers whose entries expired while the store was unreachable."""
         settle_s = self.settings().bounds.settle_s
         away_at = self.watchers[SERVERS].away_at
         self.lapsed.store_returned(self.reactor.seconds(), away_at, settle_s)
 
     def relist(self) -> None:
-        """Take in the list again, now without the servers that did not return."""
+        """Apply the last list of servers again, without servers that stayed expired."""
         watcher = self.watchers[SERVERS]
         if watcher.version is None:
             return
@@ -209,7 +211,7 @@
     def on_evacuations(
         self, _kind: str, version: int, objects: Mapping[str, StoredObject]
     ) -> None:
-        """Take in which failure domains are evacuated."""
+        """Apply the list of evacuated failure domains."""
         cold_s = {name: s.cold_s for name, s in self.routing.services.items()}
         if frozenset(objects) != self.servers.evacuated:
             get_logger().info("evacuations", domains=sorted(objects), revision=version)
@@ -218,7 +220,7 @@
     def on_members(
         self, _kind: str, _version: int, objects: Mapping[str, StoredObject]
     ) -> None:
-        """Take in the list of nodes."""
+        """Apply the list of nodes."""
         decoded = (self.documents.decode_member(o) for o in objects.values())
         found = {member.name: member for member in decoded if member is not None}
         self.members.update_list(found, self.reactor.seconds())
--- a/ebonybend/node/forwarder.py
+++ b/ebonybend/node/forwarder.py
@@ -1,4 +1,4 @@
-"""Send a request to a backend server, again where that is safe, and answer it."""
+"""Forward a request to a backend server; retry on another where that is safe."""
 
 from collections.abc import Callable
 from random import Random
@@ -26,7 +26,7 @@
 from ebonybend.timeouts import Timeout
 from ebonybend.world.route import RoutedService
 
-# Headers that concern one connection only, or that the node sets itself.
+# Hop-by-hop headers, and headers that the node sets itself.
 CONNECTION_HEADERS = frozenset(
     {
         b"connection",
@@ -40,21 +40,21 @@
         b"expect",
     }
 )
-# Connections that may fail for one request before it is refused.
+# Failed connection attempts after which a request is refused.
 MOST_UNREACHABLE = 3
-# Least time in which another send can still be answered.
+# With less time than this until the deadline, an answer can no longer arrive.
 LEAST_LEFT_S = 0.02
-# Answers from this status on are the server's own failures.
+# From this status on, an answer counts as a failure of the server.
 FAILURE_STATUS = 500
 
 
 @define
 class _Search:
-    """What was tried for one request."""
+    """The attempts made so far for one request."""
 
     excluded: set[str] = field(factory=set)
     unreachable: int = 0
-    # The server's own failure, which is passed on if no other server answers.
+    # A server's failure status, passed on if no other server answers.
     answer: BackendAnswer | None = None
     error: SteeringError = field(
         factory=lambda: SteeringError(ErrorKind.OVERLOADED, "no server has room")
@@ -62,7 +62,7 @@
 
 
 class Forwarder:
-    """Forward requests within the shared bounds."""
+    """Forward requests within the limits that all nodes share."""
 
     def __init__(
         self,
@@ -96,7 +96,10 @@
         return window
 
     async def forward(self, request: CallerRequest) -> BackendAnswer:
-        """Return the server's answer; raise a SteeringError that says what is known."""
+        """Return the server's answer.
+
+        Raises a SteeringError whose kind states whether the request may have run.
+        """
         self.regions.arrived(request.route, request.service)
         self._refuse_suspect(request)
         search = _Search()
@@ -157,7 +160,7 @@
             )
 
     def _refuse_suspect(self, request: CallerRequest) -> None:
-        """Refuse a request that crashed several servers."""
+        """Raise SUSPECT_REFUSED for a request that crashed several servers."""
         if not self.crashes.has_suspects():
             return
         name = _fingerprint(request)
@@ -167,7 +170,7 @@
     def _next_server(
         self, request: CallerRequest, search: "_Search"
     ) -> ServerState | None:
-        """Return the server to send to next, or None if there is none or no time."""
+        """Return the server to send to next; None if the request can't be sent."""
         now = self.reactor.seconds()
         if request.deadline - now < LEAST_LEFT_S:
             return None
@@ -184,13 +187,13 @@
         return state if repeats.take(now, self.nodes()) else None
 
     def _conclude(self, request: CallerRequest, search: "_Search") -> BackendAnswer:
-        """Return the failure that a server answered, or raise what is known."""
+        """Return a server's failure status if there is one, or raise the last error."""
         if search.answer is not None:
             return search.answer
         if not request.may_have_run:
             query = self._query(request, set())
             pause = self.placement.pause_s(query, self._now())
-            # Spreads the callers that were refused at the same moment.
+            # Jitter, so that clients refused at the same moment don't retry together.
             pause *= 1.0 + self.random.random() / 2
             loads = self.placement.describe(query, self._now())
             raise SteeringError(
@@ -299,7 +302,7 @@
             return await waiting
         except AnswerNotReceived as error:
             if error.loss is Loss.ABORTED and not expired:
-                # The caller has gone, so nothing is sent again.
+                # The client disconnected, so the request isn't retried.
                 raise CancelledError from error
             if expired:
                 raise SteeringError(
--- a/ebonybend/node/kept_state.py
+++ b/ebonybend/node/kept_state.py
@@ -1,6 +1,6 @@
-"""Keep in the store what a region's nodes need after all of them were lost.
+"""A region's checkpoint in the store, for a restart of all its nodes at once.
 
-Without it, objects would go to other servers than before, where they are cold.
+Without it, objects would be assigned to other regions than before, where they are cold.
 """
 
 from collections.abc import Callable, Mapping
@@ -16,17 +16,17 @@
 from ebonybend.store.watcher import Backoff
 from ebonybend.tasks import Tasks
 
-# Shares move by less than a sixth in this time.
+# Traffic shares change by less than a sixth in this time.
 WRITE_PERIOD_S = 4.0
-# Change of a share that is worth a call to the store.
+# Smallest change of a traffic share that is written; each write is a call.
 WRITTEN_CHANGE = 0.03
-# Older state says little: the crowd has moved on.
+# An older checkpoint is ignored, because the load has changed since.
 MOST_AGE_S = 60.0
 MS_PER_S = 1000
 
 
 class StateKeeper:
-    """Restore the state at the start; the first node of a region writes it."""
+    """Restore the checkpoint at the start; a region's first live node writes it."""
 
     def __init__(
         self,
@@ -50,11 +50,11 @@
         # Version of the object in the store; 0 if there is none.
         self.version = 0
         self.written: Mapping[str, Mapping[str, float]] = {}
-        # Set once the store has told what it holds.
+        # Whether the store has answered the first read.
         self.is_read = False
 
     async def restore(self, tasks: Tasks) -> None:
-        """Use what the store holds; ask again until it answers."""
+        """Read the checkpoint and apply it; retry until the store answers."""
         kind, region = self.documents.kept_kind, self.regions.region
         while not tasks.stopped:
             found = await self.store.get(kind, region)
@@ -81,7 +81,7 @@
             self.times.restore(state.times)
 
     async def write(self) -> None:
-        """Write the state if it changed and no other node of the region does."""
+        """Write the checkpoint if it changed and this node is the region's writer."""
         shares = self.regions.current_shares()
         if not self.is_read or not self._is_first() or not self._changed(shares):
             return
@@ -91,18 +91,18 @@
         value = self.documents.encode_kept(state)
         result = await self.store.put(kind, region, value, self.version)
         if self._learn_version(result):
-            # An earlier write whose answer was lost, or another node's.
+            # The version came from a write whose answer was lost, or from another node.
             result = await self.store.put(kind, region, value, self.version)
             self._learn_version(result)
         if isinstance(result, Success):
             self.written = shares
         else:
-            # The next period writes again.
+            # Retried in the next period.
             error = result.failure().message
             get_logger().info("kept_state_not_written", error=error)
 
     def _learn_version(self, result: Result[int, StoreFailure]) -> bool:
-        """Take in the object's version; tell whether a write conflicted with it."""
+        """Record the object's version; return whether a write conflicted with it."""
         if isinstance(result, Success):
             self.version = result.unwrap()
             return False
--- a/ebonybend/node/lag.py
+++ b/ebonybend/node/lag.py
@@ -1,21 +1,21 @@
-"""Find out from other nodes' beats that an own watch has stopped reporting."""
+"""Detect from other nodes' heartbeats that a watch no longer reports changes."""
 
-# A watch that is alive reports a change within this time of any other.
+# A working watch reports a change at most this much later than another node's watch.
 PATIENCE_S = 0.6
-# Time between two lists of one kind that were asked for by a lag.
+# Least time between two lists of one kind that a lag triggers.
 PAUSE_S = 2.0
 
 
 class LagDetector:
-    """Tell when the own version of a kind stays below one that another node knows."""
+    """Detect that the own version of a kind stays older than another node's."""
 
     def __init__(self) -> None:
-        # Version that is missing of each kind, and since when.
+        # Newer version that is missing for each kind, and the time since when.
         self.missing: dict[str, tuple[int, float]] = {}
         self.hurried_at: dict[str, float] = {}
 
     def is_behind(self, kind: str, own: int, told: int, now: float) -> bool:
-        """Take in a version that another node knows; tell whether to list anew."""
+        """Record a version that another node reports; return whether to list again."""
         known = self.missing.get(kind)
         if known is not None and own >= known[0]:
             del self.missing[kind]
--- a/ebonybend/node/members.py
+++ b/ebonybend/node/members.py
@@ -1,4 +1,4 @@
-"""The nodes of the system: who they are, and which of them were heard lately."""
+"""The nodes of the system, and which of them are alive by their heartbeats."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from math import ceil
@@ -8,19 +8,20 @@
 
 from ebonybend.steering.suspects import SuspectView
 
-# Two lost datagrams in a row don't make a node silent.
+# The liveness timeout covers three periods, so two lost datagrams in a row are
+# tolerated.
 BEAT_PERIOD_S = 0.7
-# A node that was not heard for this time is not named to callers, if it tells this one
-# with every beat; otherwise it is given the time of its turns.
+# Time without a heartbeat after which a node is no longer listed to clients. Applies to
+# a node that sends to this one every period; a longer round-robin adds to it.
 SILENT_AFTER_S = 2.5
-# Nodes of the own region that one beat goes to, and of all other regions together.
-# 100 nodes of a region hear each other every 4.2 s then, and a node of any deployment
-# sends 10 KB/s at the most.
+# Recipients of one heartbeat in the node's own region, and in all other regions
+# together. With 100 nodes in a region each receives from every other one every 4.2 s,
+# and a node sends at most 10 KB/s in any deployment.
 MOST_NEAR = 18
 MOST_FAR = 4
-# A datagram of an earlier process arrives at most this late: several round trips.
+# Maximum delay of a datagram of an earlier process: several round trips.
 DATAGRAM_LIFETIME_S = 1.0
-# A node that was never heard is given this time after its entry was seen.
+# Time that a newly listed node has to send its first heartbeat.
 FIRST_WORD_S = 3.0
 
 
@@ -33,49 +34,49 @@
     region: str
     callers_address: str
     peer_address: str
-    # Wall time of the start in milliseconds; a later process has a larger one.
+    # Unix time of the start in milliseconds; a later process has a larger value.
     incarnation: int
 
 
 @frozen(kw_only=True)
 class Beat:
-    """What a node tells the others about itself once per period."""
+    """The state that a node sends to other nodes once per period."""
 
     name: str
     incarnation: int
-    # Grows with each beat of an incarnation, so that an old datagram is ignored.
+    # Sequence number within an incarnation; an older datagram is ignored.
     count: int
-    # Whether callers may use the node.
+    # Whether clients may use the node.
     ready: bool
-    # Newest version of an object of each kind that the node follows in the store.
+    # Newest version of an object of each kind that the node watches in the store.
     newest: dict[str, int]
-    # Time for which the store has answered the node without a failure; 0 while it
-    # doesn't.
+    # Time for which the store has answered the node without a failure; 0 while the
+    # store is unreachable.
     followed_s: float
-    # Demand in hundredths of a slot by service: of the node, told in its region, or of
-    # all nodes of its region that it has heard, told to other regions.
+    # Demand by service in hundredths of a slot: of the node itself when sent within its
+    # region, of all live nodes of its region when sent to other regions.
     demand: dict[str, int]
-    # Requests that crashed servers.
+    # Requests suspected of crashing servers.
     suspects: tuple[SuspectView, ...]
     member: Member
 
 
 class Members:
-    """The nodes in the store's list and in beats; time is passed in."""
+    """The nodes known from the store's list and from heartbeats."""
 
     def __init__(self, own: Member):
         self.own = own
         self.listed: dict[str, Member] = {}
         self.beats: dict[str, Beat] = {}
-        # Time at which a node was heard last, or first seen in the list.
+        # Time of a node's last heartbeat, or of its first appearance in the list.
         self.heard: dict[str, float] = {}
-        # The other nodes of the own region and of all others; None if out of date.
+        # Cache of the other nodes in the own region and in all others; None if stale.
         self.groups: tuple[list[Member], list[Member]] | None = None
-        # Spreads the turns of different senders over their receivers.
+        # Starts at a hash, so that different senders don't use the same recipients.
         self.turn = xxh3_64_intdigest(own.name.encode())
 
     def update_list(self, members: Mapping[str, Member], now: float) -> None:
-        """Take in the store's list."""
+        """Replace the list of nodes that the store holds."""
         for name, member in members.items():
             known = self.listed.get(name)
             if known is None or known.incarnation != member.incarnation:
@@ -85,7 +86,7 @@
         self.groups = None
 
     def take_beat(self, beat: Beat, now: float) -> bool:
-        """Take in a beat; return False for one that is older than a known one."""
+        """Record a heartbeat; return False if it is older than the last one."""
         known = self.beats.get(beat.name)
         if known is not None and not self._is_newer(beat, known, now):
             return False
@@ -99,7 +100,7 @@
         order = (beat.incarnation, beat.count)
         if order > (known.incarnation, known.count):
             return True
-        # A node whose clock was set back before its start has a smaller incarnation.
+        # After its clock was set back, a restarted node has a smaller incarnation.
         is_other = beat.incarnation != known.incarnation
         return is_other and now - self.heard[beat.name] > DATAGRAM_LIFETIME_S
 
@@ -113,9 +114,9 @@
         return list(found.values())
 
     def recipients(self) -> tuple[list[Member], list[Member]]:
-        """Return the nodes that the next beat goes to: of the own region, and others.
+        """Return the recipients of the next heartbeat: in the own region, and others.
 
-        Where there are many, they take turns.
+        Where there are too many for one period, they are chosen by round-robin.
         """
         self.turn += 1
         near, far = self.by_distance()
@@ -125,9 +126,9 @@
         )
 
     def by_distance(self) -> tuple[list[Member], list[Member]]:
-        """Return the other nodes of the own region, and those of all others.
+        """Return the other nodes of the own region, and those of all other regions.
 
-        The others are in an order in which neighbours are of different regions.
+        The second list interleaves the regions, so each slice spans many of them.
         """
         if self.groups is None:
             self.groups = self._divide()
@@ -149,9 +150,9 @@
         return near, [member for _, _, member in sorted(far, key=lambda x: x[:2])]
 
     def silent_after_s(self, region: str) -> float:
-        """Return the time without a beat after which a node counts as silent.
+        """Return the time without a heartbeat after which a node counts as dead.
 
-        The nodes of a deployment take their turns alike.
+        All nodes use the same round-robin, so the own list gives its length.
         """
         near, far = self.by_distance()
         is_near = region == self.own.region
@@ -159,7 +160,7 @@
         return SILENT_AFTER_S + (max(ceil(turns), 1) - 1) * BEAT_PERIOD_S
 
     def fresh_beats(self, region: str, now: float) -> list[Beat]:
-        """Return the beats of a region's other nodes that were heard lately."""
+        """Return the last heartbeats of a region's other nodes that are alive."""
         after_s = self.silent_after_s(region)
         return [
             beat
@@ -170,7 +171,7 @@
         ]
 
     def is_alive(self, name: str, now: float) -> bool:
-        """Tell whether a node was heard lately."""
+        """Return whether a node sent a heartbeat within the liveness timeout."""
         if name == self.own.name:
             return True
         heard = self.heard.get(name)
@@ -182,7 +183,7 @@
         return now - heard <= self.silent_after_s(region)
 
     def usable(self, now: float, own_ready: bool) -> list[Member]:
-        """Return the nodes that callers may be sent to."""
+        """Return the live nodes that are ready for clients."""
         found = [self.own] if own_ready else []
         near, far = self.by_distance()
         for member in near + far:
@@ -192,18 +193,18 @@
         return found
 
     def count(self) -> int:
-        """Return the number of nodes that may share a bound with this one."""
+        """Return the number of known nodes, by which shared limits are divided."""
         near, far = self.by_distance()
         return len(near) + len(far) + 1
 
     def alive_count(self, now: float) -> int:
-        """Return the number of nodes that were heard lately, this one included."""
+        """Return the number of live nodes, this one included."""
         near, far = self.by_distance()
         return 1 + sum(self.is_alive(member.name, now) for member in near + far)
 
 
 def _in_turn(members: Sequence[Member], most: int, turn: int) -> list[Member]:
-    """Return at most a number of nodes; the next turn returns those after them."""
+    """Return one slice of the nodes; the next turn returns the slice after it."""
     if len(members) <= most:
         return list(members)
     start = turn * most
@@ -213,7 +214,7 @@
 def nearest(
     members: Iterable[Member], failure_domain: str, region: str
 ) -> list[Member]:
-    """Return the nodes of the caller's region, or all if it has none."""
+    """Return the nodes of the client's region, or all if it has none."""
     everyone = sorted(members, key=lambda member: member.name)
     same = [member for member in everyone if member.region == region]
     return same or everyone
--- a/ebonybend/node/membership.py
+++ b/ebonybend/node/membership.py
@@ -1,4 +1,4 @@
-"""Keep this node's own entry in the store."""
+"""Register this node in the store."""
 
 from random import Random
 
@@ -13,7 +13,7 @@
 
 
 class OwnEntry:
-    """Write the own entry until the store has taken it."""
+    """Write the node's own entry to the store."""
 
     def __init__(
         self, store: ObjectStore, documents: Documents, own: Member, random: Random
@@ -22,11 +22,11 @@
         self.documents = documents
         self.own = own
         self.backoff = Backoff(random)
-        # Revision of the entry that the store holds; 0 if none is known.
+        # Version of the entry in the store; 0 if there is none or it is unknown.
         self.version = 0
 
     async def write(self, tasks: Tasks) -> None:
-        """Write the entry; try again until the store takes it."""
+        """Write the entry; retry until the store accepts it."""
         value = self.documents.encode_member(self.own)
         kind = self.documents.members_kind
         while not tasks.stopped:
@@ -36,7 +36,8 @@
                 return
             failure = written.failure()
             if failure.kind is StoreFailureKind.CONFLICT and failure.current:
-                # An earlier process of this node, or this write whose answer was lost.
+                # Written by an earlier process of this node, or by this write if its
+                # answer was lost.
                 self.version = failure.current.version
                 continue
             if failure.kind is StoreFailureKind.NOT_FOUND:
--- a/ebonybend/node/metrics.py
+++ b/ebonybend/node/metrics.py
@@ -46,7 +46,7 @@
     def answered(
         self, route: str, status: int, error: SteeringError | None, seconds: float
     ) -> None:
-        """Count the end of a request."""
+        """Record the outcome of a request."""
         self.latency.labels(route).observe(seconds)
         self.answers.labels(route, str(status)).inc()
         if error is not None:
--- a/ebonybend/node/ports.py
+++ b/ebonybend/node/ports.py
@@ -1,4 +1,4 @@
-"""The directory, the readiness port and the metrics port."""
+"""Handlers of the directory port, the readiness port and the metrics port."""
 
 from collections.abc import Callable
 
@@ -8,16 +8,16 @@
 from ebonybend.node.metrics import NodeMetrics
 from ebonybend.node.wire import Wire
 
-# Callers keep a directory answer for this time. Some keep it three times as long, and
-# a stopping node must be forgotten within its grace time.
+# Time for which clients cache a directory answer. Some cache it three times as long,
+# and all must drop a stopping node within its grace time.
 LOOKUP_LIFETIME_S = 2.0
-# Addresses in an answer; callers take at most 64.
+# Clients read at most 64 addresses of an answer.
 MOST_ADDRESSES = 64
 JSON = {"Content-Type": "application/json"}
 
 
 class Directory:
-    """Tell callers which nodes to use."""
+    """Return to clients the addresses of the nodes to use."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self.router.add("GET", wire.lookup_path, self.lookup)
 
     async def lookup(self, incoming: IncomingRequest) -> OutgoingAnswer:
-        """Answer with the nodes that are near to the caller."""
+        """Return the addresses of the ready nodes in the client's region."""
         domain, region = self.wire.read_lookup(incoming.query)
         usable = self.members.usable(self.clock(), self.own_ready())
         chosen = nearest(usable, domain, region)[:MOST_ADDRESSES]
@@ -48,7 +48,7 @@
 
 
 def readiness_router(wire: Wire, own_ready: Callable[[], bool]) -> Router:
-    """Return the port that tells whether this node takes callers."""
+    """Return the handler that reports whether this node accepts clients."""
 
     async def ready(_incoming: IncomingRequest) -> OutgoingAnswer:
         return OutgoingAnswer(200 if own_ready() else 503)
@@ -59,7 +59,7 @@
 
 
 def metrics_router(metrics: NodeMetrics, refresh: Callable[[], None]) -> Router:
-    """Return the port that serves the metrics."""
+    """Return the handler that serves the metrics."""
 
     async def serve(_incoming: IncomingRequest) -> OutgoingAnswer:
         refresh()
--- a/ebonybend/node/routing_state.py
+++ b/ebonybend/node/routing_state.py
@@ -1,4 +1,4 @@
-"""The newest routing configuration; a version is never taken back."""
+"""The newest routing configuration; an older version is never applied."""
 
 from ebonybend.logs import get_logger
 from ebonybend.steering.returns import ReturnDetector
@@ -7,7 +7,7 @@
 
 
 class RoutingState:
-    """Routes and services of the newest version."""
+    """Routes, services and limits of the newest version."""
 
     def __init__(self) -> None:
         self.version: int | None = None
@@ -21,7 +21,7 @@
         self.returns = ReturnDetector()
 
     def take(self, config: RoutingConfig) -> bool:
-        """Use a configuration if it is newer; return whether it is."""
+        """Apply a configuration if it is newer; return whether it was applied."""
         if self.version is not None and config.version <= self.version:
             return False
         before, self.version = self.version, config.version
@@ -46,7 +46,7 @@
         return self.table.find(host, path)
 
     def urgent_route(self, route: Route, service: str) -> Route | None:
-        """Return the most urgent route of a service if it goes before another."""
+        """Return a service's most urgent route if it is more urgent than this one."""
         found = self.most_urgent.get(service)
         return found if found and found.priority < route.priority else None
 
--- a/ebonybend/node/service.py
+++ b/ebonybend/node/service.py
@@ -1,4 +1,4 @@
-"""Run one node: ports, watches, beats and forwarding in one process."""
+"""Run one node: ports, watches, heartbeats and forwarding in one process."""
 
 from asyncio import get_event_loop
 from collections.abc import Callable, Mapping
@@ -42,9 +42,9 @@
 SWEEP_PERIOD_S = 1.0
 # The settings file may change without a signal.
 RELOAD_PERIOD_S = 2.0
-# Descriptors kept for the store, other nodes, files and backend servers.
+# Descriptors reserved for the store, other nodes, files and backend servers.
 RESERVED_DESCRIPTORS = 600
-# Connections of callers that a node takes however few descriptors it has.
+# Client connections that a node accepts however few descriptors it has.
 LEAST_CONNECTIONS = 100
 
 
@@ -147,7 +147,7 @@
         )
 
     def new_window(self) -> RetryWindow:
-        """Return the bound on repeated sends to one service."""
+        """Return a new retry budget for one service."""
         bounds = self.settings.bounds
         return RetryWindow(
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s
@@ -202,11 +202,11 @@
         )
 
     def is_ready(self) -> bool:
-        """Tell whether callers should use this node."""
+        """Return whether clients may use this node."""
         return self.followed.is_complete() and not self.stop.stopping
 
     def own_beat(self, is_near: bool) -> Beat:
-        """Return what this node tells nodes of its region, or of others, now."""
+        """Return the next heartbeat for nodes of the own region or of other regions."""
         regions = self.regions
         demand = regions.own_demand() if is_near else regions.region_demand()
         self.beat_count += 1
@@ -223,18 +223,18 @@
         )
 
     def on_beat(self, beat: Beat) -> None:
-        """Take in suspects and newer versions that another node tells."""
+        """Apply the suspects and the versions that another node reports."""
         if beat.suspects:
             self.crashes.registry.merge(*beat.suspects)
         self.followed.compare(beat)
 
     def on_routing(self) -> None:
-        """Use the services and limits of a new configuration."""
+        """Apply the services and limits of a new configuration."""
         self.forwarder.services = self.routing.services
         self.caller_site.limits = self._limits()
 
     def on_servers(self, servers: Mapping[str, BackendServer]) -> None:
-        """Forget what is known of servers and routes that no longer exist."""
+        """Drop connections and statistics of removed servers and routes."""
         self.pool.retain(servers.values())
         if self.routing.version is None:
             return
@@ -242,14 +242,14 @@
         self.times.retain(set(servers), routes)
 
     def refresh_metrics(self) -> None:
-        """Set the gauges that are read when the metrics are served."""
+        """Update the gauges before the metrics are served."""
         self.metrics.store_calls.set(getattr(self.store, "platform_calls", 0))
         self.metrics.opened.set(self.pool.opened)
         self.metrics.config_version.set(self.routing.version or 0)
         self.metrics.nodes.set(self.members.alive_count(self.reactor.seconds()))
 
     def start(self) -> None:
-        """Listen, follow the store and tell the others."""
+        """Open the ports, watch the store and start the periodic tasks."""
         for address, site in self.sites.items():
             self.ports[address] = listen(self.reactor, "listen", address, site)
         host, port = split_address(self.own.peer_address)
@@ -282,7 +282,7 @@
         self.on_reload()
 
     def on_reload(self) -> None:
-        """Take in changed bounds and regions; addresses stay until a restart."""
+        """Reload the settings file; changed addresses need a restart."""
         try:
             settings = self.reload()
         except SteeringError as error:
@@ -297,18 +297,18 @@
         get_logger().info("settings_reloaded")
 
     def announce_stop(self) -> None:
-        """Tell callers and the other nodes that this node stops."""
+        """Announce to clients and other nodes that this node stops."""
         self.caller_site.closing = True
         self.beats.send_to_all()
 
     def close_ports(self) -> None:
-        """Accept no more connections, and close those that carry no request."""
+        """Stop accepting connections, and close the idle ones."""
         for address in (self.settings.callers_address, self.settings.directory_address):
             self.ports[address].stopListening()
         self.caller_site.close_idle()
 
     def end(self) -> None:
-        """End the process."""
+        """Stop all tasks and the process."""
         self.tasks.stop()
         self.followed.stop()
         self.reactor.callLater(0, self.reactor.stop)
--- a/ebonybend/node/settings.py
+++ b/ebonybend/node/settings.py
@@ -1,4 +1,4 @@
-"""What a node learns from its machine at the start and at each reload."""
+"""Settings of a node, read at the start and at each reload."""
 
 from collections.abc import Mapping
 
@@ -7,28 +7,29 @@
 
 @frozen(kw_only=True)
 class SharedBounds:
-    """Bounds that hold over all nodes together."""
+    """Limits that hold for all nodes together."""
 
-    # Repeated sends to a service in a window: ratio x first sends + slack.
+    # Retry budget of a service in a window: ratio x first sends + slack.
     retry_ratio: float = 0.2
     retry_window_s: float = 10.0
     retry_slack: float = 0.0
-    # Rate of a cold server: its stated rate x factor + slack.
+    # Rate limit of a cold server: its stated rate x factor + slack.
     cold_factor: float = 1.0
     cold_slack: float = 0.0
-    # Longest lifetime of a directory answer.
+    # Longest time for which clients may cache a directory answer.
     max_lookup_s: float = 5.0
     # Time from SIGTERM to SIGKILL.
     grace_s: float = 6.0
-    # Time after which the users' promises hold again for a machine.
+    # Time of contact with the store after which a node must be up to date.
     settle_s: float = 4.0
-    # Share of a region's requests that may change region between two windows of 2 s.
+    # Largest share of a region's requests that may move to other regions from one
+    # window of 2 s to the next.
     shift_most: float = 0.15
 
 
 @frozen(kw_only=True)
 class NodeSettings:
-    """The checked settings of one node."""
+    """The validated settings of one node."""
 
     name: str
     failure_domain: str
@@ -37,7 +38,7 @@
     callers_address: str
     ready_address: str
     directory_address: str
-    # First port that is free for traffic between nodes.
+    # First of the ports that are reserved for traffic between nodes.
     peer_port: int
     store_address: str
     # Calls per second that all nodes together may make.
--- a/ebonybend/node/stop.py
+++ b/ebonybend/node/stop.py
@@ -1,4 +1,4 @@
-"""Stop a node within its grace time without cutting off a request."""
+"""Stop a node within its grace time without aborting requests."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,15 +9,15 @@
 from ebonybend.logs import get_logger
 
 POLL_INTERVAL_S = 0.05
-# Part of the grace time in which new requests are still served, so that callers with
-# an old directory answer meet no refused connection.
+# Fraction of the grace time in which new requests are still served, so that clients
+# with a cached directory answer meet no refused connection.
 SERVING_PART = 0.6
-# Time before the end of the grace at which what is left is closed.
+# Time before the end of the grace time at which remaining requests are aborted.
 END_MARGIN_S = 0.3
 
 
 class NodeStop:
-    """Serve on while callers leave, then close and end."""
+    """Serve while clients move to other nodes, then close the ports and exit."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self.stopping = False
 
     def request(self) -> None:
-        """Begin to stop; a second request ends the process at once."""
+        """Start the stop; a second call exits at once."""
         if self.stopping:
             get_logger().warning("immediate_stop", running=self.running())
             self.end()
@@ -58,7 +58,7 @@
         until = started + self.grace_s - END_MARGIN_S
         while self.running() and self.reactor.seconds() < until:
             await deferLater(self.reactor, POLL_INTERVAL_S)
-        # Lets the last answers leave the sockets.
+        # Time for the sockets to send the last answers.
         await deferLater(self.reactor, POLL_INTERVAL_S)
         get_logger().info("stopped", seconds=round(self.reactor.seconds() - started, 3))
         self.end()
--- a/ebonybend/node/tests/beat_double.py
+++ b/ebonybend/node/tests/beat_double.py
@@ -1,4 +1,4 @@
-"""Beats for tests."""
+"""Heartbeats for tests."""
 
 from attrs import evolve
 
@@ -6,7 +6,7 @@
 
 
 def beat(sender: Member, **changes) -> Beat:
-    """Return a beat of a node that is ready and has nothing to tell."""
+    """Return a heartbeat of a ready node with nothing to report."""
     plain = Beat(
         name=sender.name,
         incarnation=1,
--- a/ebonybend/node/tests/test_backend_connection.py
+++ b/ebonybend/node/tests/test_backend_connection.py
@@ -20,7 +20,7 @@
 
 
 class Exchange:
-    """A connection with one request under way."""
+    """A connection with one request in flight."""
 
     def __init__(self):
         self.freed = []
@@ -41,7 +41,7 @@
 
 
 class BackendConnectionTest(TestWithScenarios, TestCase):
-    """Guards against a part, or another request's answer, taken for the answer."""
+    """Guards against returning a partial answer, or that of another request."""
 
     scenarios = [
         ("whole", {"parts": [WHOLE], "body": b"whole", "kept": True}),
@@ -130,7 +130,7 @@
 
 
 class ReuseTest(TestCase):
-    """Guards against bytes of an earlier request in a later one's answer."""
+    """Guards against bytes of an earlier answer in a later one."""
 
     def test_second_request_gets_its_own_answer(self):
         exchange = Exchange()
@@ -154,7 +154,7 @@
 
 
 class SilenceTest(TestWithScenarios, TestCase):
-    """Guards against requests that wait on a server without power until their end."""
+    """Guards against requests that wait until the deadline for a dead server."""
 
     scenarios = [
         ("nothing acknowledged", {"loss": Loss.SILENT}),
--- a/ebonybend/node/tests/test_followed.py
+++ b/ebonybend/node/tests/test_followed.py
@@ -35,7 +35,7 @@
 
 
 class World:
-    """A node that follows a store, without ports."""
+    """A node without ports that watches a store."""
 
     def __init__(self):
         self.clock = Clock()
@@ -70,7 +70,7 @@
             self.clock.advance(0.01)
 
     def cut(self, seconds):
-        """Cut the node off from the store; waiting watches end with the cut."""
+        """Disconnect the node from the store for a time; its open watches fail."""
         self.client.down = True
         self.run(seconds)
         self.client.down = False
@@ -84,7 +84,7 @@
 
 
 class CountedDocuments(PlatformDocuments):
-    """Count the entries of servers that are decoded."""
+    """Count the server entries that are decoded."""
 
     def __init__(self):
         self.decoded = 0
@@ -114,7 +114,7 @@
 
 
 class MissingServerTest(TestWithScenarios, TestCase):
-    """Guards against requests to a server that left while the node was cut off."""
+    """Guards against requests to a server removed while the node was disconnected."""
 
     scenarios = [
         ("alone", {"told_s": None, "kept": True}),
--- a/ebonybend/node/tests/test_forwarder.py
+++ b/ebonybend/node/tests/test_forwarder.py
@@ -41,7 +41,7 @@
 
 
 class FixedRegion:
-    """Keep every object in one region."""
+    """Assign every object to one region."""
 
     def arrived(self, route, service):
         """Do nothing."""
@@ -52,14 +52,14 @@
 
 
 class PlainWire:
-    """Formats of these tests."""
+    """The formats that these tests use."""
 
     def server_headers(self, server, left_s):
-        """State the time that is left."""
+        """Return a header with the remaining time."""
         return ((b"Left", str(round(left_s, 3)).encode()),)
 
     def states_not_run(self, status, headers):
-        """Read the header of a server that did not run a request."""
+        """Return whether an answer states that the request was not run."""
         return status == 421 or headers.hasHeader("Not-Run")
 
     def read_load(self, headers):
@@ -67,20 +67,20 @@
 
 
 class ScriptedPool:
-    """Give connections that answer what a script says."""
+    """A pool whose connections answer by a script."""
 
     def __init__(self, script):
         self.script = list(script)
         self.sent = []
         self.waiting = None
-        # Delays the next connection until it fires, if set.
+        # If set, the next connection is delayed until it fires.
         self.connecting = None
 
     def take(self, server, single):
-        """Return no kept connection."""
+        """Return no idle connection."""
 
     async def connect(self, server):
-        """Return a connection, or fail as the script says."""
+        """Return a connection, or raise the error that is next in the script."""
         if self.connecting is not None:
             await self.connecting
         if self.script and isinstance(self.script[0], Unreachable):
@@ -91,7 +91,7 @@
         """Do nothing."""
 
     def send(self, method, request_id, data):
-        """Answer with the next of the script; wait if it is empty."""
+        """Answer with the next entry of the script; wait if there is none."""
         self.sent.append(data)
         self.waiting = Deferred(lambda d: d.errback(AnswerNotReceived(Loss.ABORTED)))
         if self.script:
@@ -156,7 +156,7 @@
 
 
 class ForwardTest(TestWithScenarios, TestCase):
-    """Guards against a second run, an untrue "not run" and a needless failure."""
+    """Guards against a second run, a wrong "not run" and a needless failure."""
 
     scenarios = [
         ("answered", {"script": [OK], "sends": 1, "ends": 200}),
@@ -231,7 +231,7 @@
 
 
 class WaitingTest(TestCase):
-    """Guards against work for callers that left or whose time is over."""
+    """Guards against work for clients that disconnected or whose deadline passed."""
 
     def test_nothing_is_sent_again_once_the_caller_left(self):
         bench = Bench([])
--- a/ebonybend/node/tests/test_kept_state.py
+++ b/ebonybend/node/tests/test_kept_state.py
@@ -27,15 +27,15 @@
 
 
 class ObjectDocuments(PlatformDocuments):
-    """Write values as the platform's store returns them."""
+    """Encode values in the form in which the platform's store returns them."""
 
     def encode_kept(self, state):
-        """Return a whole object."""
+        """Return a complete object."""
         return to_json({"Metadata": {"Name": "k"}, "Spec": state})
 
 
 class Node:
-    """The steering of one node, and what it keeps."""
+    """The region steering of one node, with its checkpoint."""
 
     def __init__(self, store, own=FIRST, wall_s=WALL_S):
         self.clock = store.clock
@@ -77,9 +77,10 @@
 
 
 class KeptStateTest(TestWithScenarios, TestCase):
-    """Guards against cold objects after all nodes lost power at once.
+    """Guards against cold objects after all nodes of a region restart at once.
 
-    Load pattern: a region that has given most of its objects away restarts under load.
+    The region had assigned most of its objects to another region, and restarts under
+    load.
     """
 
     scenarios = [
@@ -105,7 +106,7 @@
 
 
 class WriterTest(TestWithScenarios, TestCase):
-    """Guards against calls to the store that tell nothing new."""
+    """Guards against needless writes to the store."""
 
     scenarios = [
         ("the first node of the region", {"own": FIRST, "writes": 1}),
--- a/ebonybend/node/tests/test_lag.py
+++ b/ebonybend/node/tests/test_lag.py
@@ -5,7 +5,7 @@
 
 
 class LagDetectorTest(TestWithScenarios, TestCase):
-    """Guards against a node that serves old state behind a dead watch."""
+    """Guards against a node that serves stale state because its watch is dead."""
 
     scenarios = [
         ("same version", {"beats": [(0, 5, 5), (1, 5, 5)], "found": []}),
--- a/ebonybend/node/tests/test_members.py
+++ b/ebonybend/node/tests/test_members.py
@@ -13,9 +13,9 @@
 )
 from ebonybend.node.tests.beat_double import beat
 
-# Budget of the two-year target for a node's control traffic, in bytes a second.
+# Budget for a node's control traffic in the two-year target, in bytes per second.
 CONTROL_BYTES_PER_S = 11_000
-# Time for which the users allow a dead node to be named, the shortest of their sites.
+# Longest time for which a dead node may be listed, the strictest of all sites.
 NAMED_S = 6.0
 
 
@@ -31,7 +31,7 @@
 
 
 class TurnsTest(TestWithScenarios, TestCase):
-    """Guards against traffic between nodes that grows with their number squared."""
+    """Guards against heartbeat traffic that grows with the square of the node count."""
 
     scenarios = [
         ("today", {"count": 7, "regions": 3}),
@@ -74,7 +74,7 @@
 
 
 class AliveTest(TestCase):
-    """Guards against callers that are sent to nodes that have gone."""
+    """Guards against clients that are directed to dead nodes."""
 
     def test_node_that_falls_silent(self):
         found = members(7, 3)
--- a/ebonybend/node/wire.py
+++ b/ebonybend/node/wire.py
@@ -1,4 +1,4 @@
-"""What a node needs from an adapter: formats of calls and of stored objects."""
+"""Interfaces to the platform's formats: calls and stored objects."""
 
 from collections.abc import Mapping, Sequence
 from typing import Protocol
@@ -15,7 +15,7 @@
 
 @frozen
 class CallerHeaders:
-    """What a client's headers tell about its request."""
+    """The headers of a client request that the node reads."""
 
     request_id: bytes
     # None if the client states no deadline.
@@ -25,7 +25,7 @@
 
 @frozen
 class ServerLoad:
-    """A server's own count of its requests."""
+    """The load that a server reports."""
 
     running: int
     waiting: int
@@ -34,35 +34,36 @@
 
 @frozen
 class KeptState:
-    """What the nodes of one region know together."""
+    """The state that the nodes of a region need after all of them restarted."""
 
-    # Wall time of the write in milliseconds.
+    # Unix time of the write in milliseconds.
     written_ms: int
-    # Share of the region's objects that each region takes, by service.
+    # Traffic share of each region by service: the part of this region's objects that
+    # is assigned to it.
     shares: dict[str, dict[str, float]]
-    # How long requests take, by route.
+    # Service times by route.
     times: dict[str, RouteTimes]
 
 
 class Wire(Protocol):
-    """The formats between clients, nodes and servers."""
+    """The formats of calls between clients, nodes and servers."""
 
     request_id_header: bytes
     lookup_path: str
     ready_path: str
 
     def read_caller_headers(self, headers: Headers) -> CallerHeaders | None:
-        """Return what the headers tell; None without an id or with a bad deadline."""
+        """Return the decoded headers; None without an id or with a bad deadline."""
         ...
 
     def server_headers(
         self, server: str, left_s: float
     ) -> tuple[tuple[bytes, bytes], ...]:
-        """Return the headers that a request to a server gets besides the client's."""
+        """Return the headers that are added to a request to a server."""
         ...
 
     def states_not_run(self, status: int, headers: Headers) -> bool:
-        """Tell whether a server's answer states that it did not run the request."""
+        """Return whether an answer states that the server didn't run the request."""
         ...
 
     def read_load(self, headers: Headers) -> ServerLoad | None:
@@ -70,11 +71,11 @@
         ...
 
     def retry_after_header(self, seconds: float) -> tuple[str, str]:
-        """Return the header that tells a client when to come back."""
+        """Return the header that states the delay before a client's retry."""
         ...
 
     def read_lookup(self, query: Mapping[bytes, list[bytes]]) -> tuple[str, str]:
-        """Return the failure domain and the region of the client that asks."""
+        """Return the failure domain and the region that a client states."""
         ...
 
     def encode_lookup(self, addresses: Sequence[str], lifetime_s: float) -> bytes:
@@ -90,31 +91,31 @@
     servers_kind: str
     evacuations_kind: str
     members_kind: str
-    # One object for each region, which nobody watches.
+    # Checkpoints: one object for each region, which isn't watched.
     kept_kind: str
 
     def decode_config(self, stored: StoredObject) -> RoutingConfig | None:
-        """Return the routing that an object holds, or None if it can't be read."""
+        """Return the routing configuration, or None if it can't be decoded."""
         ...
 
     def decode_server(
         self, stored: StoredObject, regions: Mapping[str, str]
     ) -> BackendServer | None:
-        """Return a server, or None if the entry names none that can be used."""
+        """Return a server, or None if the entry describes no usable one."""
         ...
 
     def decode_member(self, stored: StoredObject) -> Member | None:
-        """Return a node's own entry, or None if it can't be read."""
+        """Return a node's own entry, or None if it can't be decoded."""
         ...
 
     def encode_member(self, member: Member) -> bytes:
-        """Return the value of a node's own entry."""
+        """Return the encoded entry of a node."""
         ...
 
     def decode_kept(self, stored: StoredObject) -> KeptState | None:
-        """Return what a region's nodes keep, or None if it can't be read."""
+        """Return a region's checkpoint, or None if it can't be decoded."""
         ...
 
     def encode_kept(self, state: KeptState) -> bytes:
-        """Return the value of what a region's nodes keep."""
+        """Return an encoded checkpoint."""
         ...
--- a/ebonybend/platform/__init__.py
+++ b/ebonybend/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls. Nothing here decides."""
+"""Adapter to the platform: its names, formats and calls, without any decisions."""
--- a/ebonybend/platform/__main__.py
+++ b/ebonybend/platform/__main__.py
@@ -8,7 +8,7 @@
 from ebonybend.loop import install_reactor
 from ebonybend.platform.settings import read_settings, settings_path
 
-# Port of the metrics unless the variable names another; deploy/system.toml names it.
+# Default port of the metrics; also in deploy/system.toml.
 METRICS_PORT = "9464"
 METRICS_PORT_VARIABLE = "EBONYBEND_METRICS_PORT"
 EXIT_BAD_SETTING = 2
--- a/ebonybend/platform/calls.py
+++ b/ebonybend/platform/calls.py
@@ -1,4 +1,4 @@
-"""Header names and the formats of the calls that clients make."""
+"""Header names and formats of calls between clients, nodes and servers."""
 
 from collections.abc import Mapping, Sequence
 
@@ -13,7 +13,7 @@
 REQUEST_ID = b"Attempt-Id"
 # Milliseconds for which the sender waits.
 DEADLINE = b"Deadline-Ms"
-# Requests of the same object have the same value.
+# Requests for the same object have the same value.
 OBJECT_KEY = b"Affinity-Key"
 # Name of the only server that may run the request.
 EXPECTED_SERVER = b"Expect-Instance"
@@ -26,14 +26,14 @@
 
 
 class PlatformWire:
-    """The formats between clients, nodes and servers."""
+    """The platform's formats of calls between clients, nodes and servers."""
 
     request_id_header = REQUEST_ID
     lookup_path = RESOLVE_PATH
     ready_path = READY_PATH
 
     def read_caller_headers(self, headers: Headers) -> CallerHeaders | None:
-        """Return what the headers tell; None without an id or with a bad deadline."""
+        """Return the decoded headers; None without an id or with a bad deadline."""
         request_id = _single(headers, REQUEST_ID)
         if not request_id:
             return None
@@ -50,12 +50,12 @@
     def server_headers(
         self, server: str, left_s: float
     ) -> tuple[tuple[bytes, bytes], ...]:
-        """Return the headers that a request to a server gets besides the client's."""
+        """Return the headers that are added to a request to a server."""
         left_ms = max(int(left_s * MS_PER_S), 1)
         return ((DEADLINE, b"%d" % left_ms), (EXPECTED_SERVER, server.encode()))
 
     def states_not_run(self, status: int, headers: Headers) -> bool:
-        """Tell whether a server's answer states that it did not run the request."""
+        """Return whether an answer states that the server didn't run the request."""
         return status == 421 or headers.hasHeader(NOT_RUN)
 
     def read_load(self, headers: Headers) -> ServerLoad | None:
@@ -69,11 +69,11 @@
         return ServerLoad(*(int(part) for part in parts))
 
     def retry_after_header(self, seconds: float) -> tuple[str, str]:
-        """Return the header that tells a client when to come back, in seconds."""
+        """Return the header that states the delay before a client's retry."""
         return RETRY_AFTER, f"{seconds:.3f}"
 
     def read_lookup(self, query: Mapping[bytes, list[bytes]]) -> tuple[str, str]:
-        """Return the failure domain and the region of the client that asks."""
+        """Return the failure domain and the region that a client states."""
         domain, region = (query.get(name, [b""])[0] for name in (b"Zone", b"Region"))
         return domain.decode("utf-8", "replace"), region.decode("utf-8", "replace")
 
--- a/ebonybend/platform/documents.py
+++ b/ebonybend/platform/documents.py
@@ -20,9 +20,9 @@
 CONFIG_NAME = "main"
 SERVERS_KIND = "servers"
 EVACUATIONS_KIND = "evacuations"
-# A kind of this project: one object for each node.
+# A kind that this project defines: one object for each node.
 MEMBERS_KIND = "ebonybend-nodes"
-# A kind of this project: one object for each region.
+# A kind that this project defines: one checkpoint for each region.
 KEPT_KIND = "ebonybend-kept"
 
 MS_PER_S = 1000.0
@@ -47,7 +47,7 @@
     Priority: int = 0
     Sticky: bool = False
     Service: str = ""
-    # A list of services with weights, in place of Service.
+    # Weighted services, in place of Service.
     Backends: list[_Backend] = field(factory=list)
     HomeRegions: list[str] = field(factory=list)
 
@@ -91,14 +91,14 @@
 class _ServerInfo:
     Service: str
     Zone: str
-    # Requests that the server runs at the same time.
+    # Number of requests that the server runs concurrently.
     MaxConcurrency: int
 
 
 @frozen
 class _ServerStatus:
     State: str
-    # Time for which the server stays cold, counted from the report.
+    # Remaining time for which the server is cold, at the time of the report.
     WarmupLeftMs: float = 0.0
 
 
@@ -106,9 +106,9 @@
 class _ServerSpec:
     Addr: str
     Info: _ServerInfo
-    # What the server reports; the object's own Status stays empty.
+    # Reported by the server; the object's own Status stays empty.
     Status: _ServerStatus
-    # Start of the process in Unix milliseconds.
+    # Unix time of the process start in milliseconds.
     born: int = 0
 
 
@@ -145,7 +145,7 @@
 
 
 class PlatformDocuments:
-    """The kinds of objects in the store, and their formats."""
+    """The platform's kinds of stored objects, and their formats."""
 
     config_kind = CONFIG_KIND
     config_name = CONFIG_NAME
@@ -155,7 +155,7 @@
     kept_kind = KEPT_KIND
 
     def decode_config(self, stored: StoredObject) -> RoutingConfig | None:
-        """Return the routing that an object holds, or None if it can't be read."""
+        """Return the routing configuration, or None if it can't be decoded."""
         try:
             config = from_json(bytes(stored.value), _ConfigObject).Spec
         except SteeringError:
@@ -182,7 +182,7 @@
     def decode_server(
         self, stored: StoredObject, regions: dict[str, str]
     ) -> BackendServer | None:
-        """Return a server, or None if the entry names none that can be used."""
+        """Return a server, or None if the entry describes no usable one."""
         try:
             spec = from_json(bytes(stored.value), _ServerObject).Spec
         except SteeringError:
@@ -205,23 +205,23 @@
         )
 
     def decode_member(self, stored: StoredObject) -> Member | None:
-        """Return a node's own entry, or None if it can't be read."""
+        """Return a node's own entry, or None if it can't be decoded."""
         try:
             return from_json(bytes(stored.value), _MemberObject).Spec
         except SteeringError:
             return None
 
     def encode_member(self, member: Member) -> bytes:
-        """Return the value of a node's own entry."""
+        """Return the encoded entry of a node."""
         return to_json(member)
 
     def decode_kept(self, stored: StoredObject) -> KeptState | None:
-        """Return what a region's nodes keep, or None if it can't be read."""
+        """Return a region's checkpoint, or None if it can't be decoded."""
         try:
             return from_json(bytes(stored.value), _KeptObject).Spec
         except SteeringError:
             return None
 
     def encode_kept(self, state: KeptState) -> bytes:
-        """Return the value of what a region's nodes keep."""
+        """Return an encoded checkpoint."""
         return to_json(state)
--- a/ebonybend/platform/settings.py
+++ b/ebonybend/platform/settings.py
@@ -13,7 +13,7 @@
 
 
 def settings_path() -> Path:
-    """Return the path of the settings file; raise BAD_SETTING if it is not told."""
+    """Return the path of the settings file; raise BAD_SETTING if it is not set."""
     path = os.environ.get(PATH_VARIABLE)
     if not path:
         raise SteeringError(ErrorKind.BAD_SETTING, f"{PATH_VARIABLE} is not set")
@@ -34,7 +34,7 @@
 
 
 def decode_settings(fields: dict[str, Any]) -> NodeSettings:
-    """Return the settings that a decoded file holds."""
+    """Return the settings in a decoded file."""
     listen = fields["Listen"]
     store = fields["Platform"]
     limits = fields.get("Limits", {})
@@ -58,7 +58,7 @@
 
 
 def decode_bounds(texts: list[str]) -> SharedBounds:
-    """Return the bounds that texts like "GraceS=6" state."""
+    """Return the bounds in a list of texts such as "GraceS=6"."""
     values = dict(text.split("=", 1) for text in texts)
     default = SharedBounds()
 
--- a/ebonybend/platform/store.py
+++ b/ebonybend/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store of objects."""
+"""A client of the platform's object store."""
 
 from urllib.parse import quote
 
@@ -21,15 +21,15 @@
     store_result,
 )
 
-# A list longer than this is read in pages; the store pages at about 500 objects.
+# Limit on the pages of one list; the store puts about 500 objects on a page.
 MOST_PAGES = 10_000
-# Answers that state that the call was not carried out.
+# Statuses that state that the call was not carried out.
 REFUSALS = frozenset({429, 503})
 
 
 @frozen
 class _Metadata:
-    """The part of an object that the store itself writes."""
+    """The part of an object that the store writes."""
 
     Name: str
     # Revision of the object's last change.
@@ -46,7 +46,7 @@
 
 @frozen
 class _Page:
-    """The answer to a list."""
+    """One page of the answer to a list."""
 
     StoreRevision: int
     items: list[Raw] = field(factory=list)
@@ -89,7 +89,7 @@
             if not isinstance(page, Success):
                 return Failure(page.failure())
             found = page.unwrap()
-            # Changes between two pages are read again by the watch that follows.
+            # The first page's revision: the next watch reads changes between two pages.
             if revision is None:
                 revision = found.StoreRevision
             items += [stored for raw in found.items if (stored := _stored(raw))]
@@ -107,7 +107,10 @@
     async def put(
         self, kind: str, name: str, value: bytes, version: int
     ) -> Result[int, StoreFailure]:
-        """Write a spec if the object has a version (0: doesn't exist)."""
+        """Write a spec if the object has a version; return the new one.
+
+        Version 0 states that the object doesn't exist.
+        """
         if version == 0:
             method, path = "POST", f"/objects/{quote(kind, safe='')}"
             head = b'{"Metadata":{"Name":%s},"Spec":' % to_json(name)
@@ -123,13 +126,13 @@
     async def delete(
         self, kind: str, name: str, version: int
     ) -> Result[bytes, StoreFailure]:
-        """Remove an object if it has a version."""
+        """Delete an object if it has a version."""
         return await self._call("DELETE", f"{_path(kind, name)}?Rev={version}")
 
     async def watch(
         self, kind: str, since: int, timeout_ms: int
     ) -> Result[ObjectList, StoreFailure]:
-        """Return the objects changed since a revision, or none after the time-out."""
+        """Return the objects changed since a revision, or none after the timeout."""
         path = f"/objects/{quote(kind, safe='')}?Watch={since}&WaitMs={timeout_ms}"
         timeout = timeout_ms / 1000 + WATCH_MARGIN_S
         answer = await self._call("GET", path, timeout=timeout)
@@ -157,7 +160,7 @@
         return StoreFailure(StoreFailureKind.UNAVAILABLE, message)
     if answer.status >= 500:
         return StoreFailure(StoreFailureKind.ANSWER_LOST, message)
-    # Includes 410: the history since the given revision is gone.
+    # Includes 410: the store no longer has the history since the given revision.
     return StoreFailure(StoreFailureKind.REJECTED, message)
 
 
@@ -166,7 +169,7 @@
 
 
 def _stored(raw: Raw, deleted: bool = False) -> StoredObject | None:
-    """Return an object, or None if its name and revision can't be read."""
+    """Return an object, or None if its name or revision can't be decoded."""
     try:
         metadata = from_json(bytes(raw), _Head).Metadata
     except SteeringError:
--- a/ebonybend/platform/tests/test_formats.py
+++ b/ebonybend/platform/tests/test_formats.py
@@ -50,7 +50,7 @@
 
 
 class ServerEntryTest(TestWithScenarios, TestCase):
-    """Guards against an entry of another writer that stops the node or is used."""
+    """Guards against a malformed entry that stops the node or is used."""
 
     scenarios = [
         ("whole", {"spec": SERVER, "state": LifeState.LIVE}),
@@ -80,7 +80,7 @@
 
 
 class ConfigTest(TestCase):
-    """Guards against a configuration that is read as another."""
+    """Guards against a configuration that is decoded wrongly."""
 
     def test_decode(self):
         path = {
@@ -120,7 +120,7 @@
 
 
 class HeadersTest(TestWithScenarios, TestCase):
-    """Guards against a request without id, or with a bad deadline, that is sent on."""
+    """Guards against forwarding a request without an id or with a bad deadline."""
 
     scenarios = [
         (
@@ -146,7 +146,7 @@
 
 
 class LoadTest(TestWithScenarios, TestCase):
-    """Guards against a malformed load report that is taken for a load."""
+    """Guards against using a malformed load report."""
 
     scenarios = [
         ("whole", {"text": "3,0,8", "load": ServerLoad(3, 0, 8)}),
@@ -175,7 +175,7 @@
 
 
 class SettingsTest(TestWithScenarios, TestCase):
-    """Guards against a start with settings that are wrong, without a clear error."""
+    """Guards against wrong settings that don't cause a clear error."""
 
     scenarios = [
         ("whole", {"text": SETTINGS, "error": None}),
