--- a/ebonybend/node/settings.py
+++ b/ebonybend/node/settings.py
@@ -24,7 +24,7 @@
     settle_s: float = 4.0
     # Largest share of a region's requests that may move to other regions from one
     # window of 2 s to the next.
-    shift_most: float = 0.15
+    max_shift: float = 0.15
 
 
 @frozen(kw_only=True)
--- a/ebonybend/node/wire.py
+++ b/ebonybend/node/wire.py
@@ -14,7 +14,7 @@
 
 
 @frozen
-class CallerHeaders:
+class ClientHeaders:
     """The headers of a client request that the node reads."""
 
     request_id: bytes
@@ -52,7 +52,7 @@
     lookup_path: str
     ready_path: str
 
-    def read_caller_headers(self, headers: Headers) -> CallerHeaders | None:
+    def read_client_headers(self, headers: Headers) -> ClientHeaders | None:
         """Return the decoded headers; None without an id or with a bad deadline."""
         ...
 
