--- a/ebonybend/node/backend_connection.py
+++ b/ebonybend/node/backend_connection.py
@@ -15,24 +15,24 @@
 from twisted.web.http_headers import Headers
 
 # Late answers to earlier requests that are skipped before the connection is closed.
-MOST_SKIPPED = 2
+MAX_SKIPPED_ANSWERS = 2
 # A request is lost if the server's kernel doesn't acknowledge it within this time: long
 # enough for three transmissions on the slowest link, and below most client deadlines.
-SILENT_AFTER_MS = 1000
+ACK_TIMEOUT_MS = 1000
 # Fraction of that time from which on a lost connection counts as unacknowledged; a
 # reset arrives sooner.
-SILENT_PART = 0.9
+ACK_TIMEOUT_FRACTION = 0.9
 
 
-class Loss(Enum):
+class LossReason(Enum):
     """Why a request that was sent got no complete answer."""
 
     # The connection was closed or reset.
     CLOSED = "closed"
     # The server's kernel didn't acknowledge the request.
-    SILENT = "silent"
+    UNACKNOWLEDGED = "silent"
     # The received bytes are not an answer to this request.
-    GARBLED = "garbled"
+    MALFORMED = "garbled"
     # This node closed the connection.
     ABORTED = "aborted"
 
@@ -40,7 +40,7 @@
 class AnswerNotReceived(Exception):
     """A request was sent but no complete answer arrived; it may have run."""
 
-    def __init__(self, loss: Loss):
+    def __init__(self, loss: LossReason):
         super().__init__(loss.value)
         self.loss = loss
 
@@ -55,7 +55,7 @@
 
 
 @define
-class _Method:
+class _ParserRequest:
     """The attributes of a request that the parser reads."""
 
     method: bytes
@@ -63,7 +63,7 @@
     headers: None = None
 
 
-class _Unpaced:
+class _NoFlowControl:
     """A transport for the parser, without flow control."""
 
     disconnecting = False
@@ -78,18 +78,18 @@
         """Do nothing; BackendConnection decides when to close."""
 
 
-class _Body(Protocol):
+class _BodyCollector(Protocol):
     """Collect the body of an answer."""
 
-    def __init__(self, ended: Callable[[bytes, Failure], None]):
-        self.ended = ended
+    def __init__(self, on_end: Callable[[bytes, Failure], None]):
+        self.on_end = on_end
         self.chunks: list[bytes] = []
 
     def dataReceived(self, data: bytes) -> None:
         self.chunks.append(data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.ended(b"".join(self.chunks), reason)
+        self.on_end(b"".join(self.chunks), reason)
 
 
 class BackendConnection(Protocol):
@@ -98,30 +98,30 @@
     def __init__(
         self,
         request_id_header: bytes,
-        on_free: Callable[[Any], None],
+        on_idle: Callable[[Any], None],
         clock: Callable[[], float],
     ):
         self.request_id_header = request_id_header
         self.clock = clock
         self.sent_at = 0.0
         # Whether any byte arrived since the request was sent.
-        self.heard = False
+        self.has_received = False
         # Called when the connection can carry another request.
-        self.on_free = on_free
+        self.on_idle = on_idle
         self.usable = True
         self.requests = 0
         self.idle_since = 0.0
         # Idle timeout that the server stated in its last answer, in seconds.
-        self.keep_s: float | None = None
+        self.keep_alive_s: float | None = None
         self.waiting: Deferred[BackendAnswer] | None = None
         self.parser: HTTPClientParser | None = None
         self.method = b""
         self.request_id = b""
-        self.skipped = 0
+        self.skipped_answers = 0
         # Whether the connection has ended.
-        self.lost = False
+        self.disconnected = False
         # An answer without a length, which ends with the connection.
-        self.unframed: BackendAnswer | None = None
+        self.unframed_answer: BackendAnswer | None = None
 
     def send(
         self, method: bytes, request_id: bytes, data: bytes
@@ -129,11 +129,11 @@
         """Send a request; cancelling the result closes the connection."""
         self.method = method
         self.request_id = request_id
-        self.skipped = 0
+        self.skipped_answers = 0
         self.requests += 1
         self.sent_at = self.clock()
-        self.heard = False
-        self.waiting = Deferred(lambda _: self._fail(Loss.ABORTED))
+        self.has_received = False
+        self.waiting = Deferred(lambda _: self._fail(LossReason.ABORTED))
         self._expect_answer()
         self.transport.write(data)
         return self.waiting
@@ -145,75 +145,75 @@
             self.transport.abortConnection()
 
     def _expect_answer(self) -> None:
-        parser = HTTPClientParser(_Method(self.method), self._parsed)
-        parser.makeConnection(_Unpaced())
-        parser._responseDeferred.addCallbacks(self._head, lambda _: None)
+        parser = HTTPClientParser(_ParserRequest(self.method), self._on_parsed)
+        parser.makeConnection(_NoFlowControl())
+        parser._responseDeferred.addCallbacks(self._on_head, lambda _: None)
         self.parser = parser
-        self.rest = b""
+        self.unparsed = b""
 
-    def _parsed(self, rest: bytes) -> None:
-        self.rest = rest
-        if self.parser.bodyDecoder is not None and not self.lost:
+    def _on_parsed(self, unparsed: bytes) -> None:
+        self.unparsed = unparsed
+        if self.parser.bodyDecoder is not None and not self.disconnected:
             # Reports to the body's protocol that the body is complete.
             self.parser.response._bodyDataFinished()
 
-    def _head(self, response: Any) -> None:
+    def _on_head(self, response: Any) -> None:
         parser = self.parser
 
-        def ended(body: bytes, reason: Failure) -> None:
+        def on_end(body: bytes, reason: Failure) -> None:
             answer = BackendAnswer(response.code, response.headers, body)
             if reason.check(ResponseDone):
-                self._whole(answer, parser)
+                self._on_complete(answer, parser)
             elif reason.check(PotentialDataLoss):
-                self.unframed = answer
+                self.unframed_answer = answer
 
-        response.deliverBody(_Body(ended))
+        response.deliverBody(_BodyCollector(on_end))
 
     def dataReceived(self, data: bytes) -> None:
         """Parse received bytes; close the connection if no request is waiting."""
         if self.waiting is None:
             self.close()
             return
-        self.heard = True
-        self._feed(data)
+        self.has_received = True
+        self._parse(data)
 
-    def _feed(self, data: bytes) -> None:
+    def _parse(self, data: bytes) -> None:
         parser = self.parser
         try:
             parser.dataReceived(data)
         except Exception:
             # The parser raises errors of several modules for malformed bytes.
-            self._fail(Loss.GARBLED)
+            self._fail(LossReason.MALFORMED)
             return
-        if self.parser is not parser and self.waiting is not None and self.rest:
-            rest, self.rest = self.rest, b""
-            self._feed(rest)
+        if self.parser is not parser and self.waiting is not None and self.unparsed:
+            unparsed, self.unparsed = self.unparsed, b""
+            self._parse(unparsed)
 
-    def _whole(self, answer: BackendAnswer, parser: HTTPClientParser) -> None:
+    def _on_complete(self, answer: BackendAnswer, parser: HTTPClientParser) -> None:
         """Deliver a complete answer, or skip it if it belongs to an earlier request."""
         if self.waiting is None:
             return
-        found = answer.headers.getRawHeaders(self.request_id_header)
-        if found is not None and found != [self.request_id]:
+        request_ids = answer.headers.getRawHeaders(self.request_id_header)
+        if request_ids is not None and request_ids != [self.request_id]:
             self.usable = False
-            self.skipped += 1
-            if self.skipped > MOST_SKIPPED:
-                self._fail(Loss.GARBLED)
+            self.skipped_answers += 1
+            if self.skipped_answers > MAX_SKIPPED_ANSWERS:
+                self._fail(LossReason.MALFORMED)
                 return
-            rest = self.rest
+            unparsed = self.unparsed
             self._expect_answer()
-            self.rest = rest
+            self.unparsed = unparsed
             return
         closes = _has_token(parser.connHeaders, b"close")
-        self.keep_s = _keep_alive_s(parser.connHeaders)
+        self.keep_alive_s = _keep_alive_s(parser.connHeaders)
         waiting, self.waiting = self.waiting, None
-        if closes or self.rest or not self.usable:
+        if closes or self.unparsed or not self.usable:
             self.close()
         else:
-            self.on_free(self)
+            self.on_idle(self)
         waiting.callback(answer)
 
-    def _fail(self, loss: Loss) -> None:
+    def _fail(self, loss: LossReason) -> None:
         waiting, self.waiting = self.waiting, None
         self.close()
         if waiting is not None:
@@ -222,11 +222,11 @@
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Fail the waiting request, unless the close completes its answer."""
         self.usable = False
-        self.lost = True
+        self.disconnected = True
         if self.waiting is None:
             return
         self.parser.connectionLost(reason)
-        answer = self.unframed
+        answer = self.unframed_answer
         if (
             answer is not None
             and reason.check(ConnectionDone)
@@ -237,14 +237,18 @@
             waiting.callback(answer)
             return
         if self.waiting is not None:
-            self._fail(Loss.SILENT if self._is_silent(reason) else Loss.CLOSED)
+            self._fail(
+                LossReason.UNACKNOWLEDGED
+                if self._is_unacknowledged(reason)
+                else LossReason.CLOSED
+            )
 
-    def _is_silent(self, reason: Failure) -> bool:
+    def _is_unacknowledged(self, reason: Failure) -> bool:
         """Return whether the connection ended for lack of acknowledgements."""
-        if self.heard or reason.check(ConnectionDone):
+        if self.has_received or reason.check(ConnectionDone):
             return False
         waited_ms = (self.clock() - self.sent_at) * 1000
-        return waited_ms >= SILENT_AFTER_MS * SILENT_PART
+        return waited_ms >= ACK_TIMEOUT_MS * ACK_TIMEOUT_FRACTION
 
 
 def _has_token(headers: Headers, token: bytes) -> bool:
--- a/ebonybend/node/beats.py
+++ b/ebonybend/node/beats.py
@@ -9,24 +9,24 @@
 from ebonybend.codec import pack, unpack
 from ebonybend.errors import SteeringError
 from ebonybend.logs import get_logger
-from ebonybend.node.members import Beat, Member, Members
+from ebonybend.node.members import Member, Members, NodeHeartbeat
 
 
-class BeatPort(DatagramProtocol):
+class HeartbeatProtocol(DatagramProtocol):
     """Send heartbeats to other nodes and record theirs."""
 
     def __init__(
         self,
         members: Members,
-        own_beat: Callable[[bool], Beat],
+        build_heartbeat: Callable[[bool], NodeHeartbeat],
         clock: Callable[[], float],
-        on_beat: Callable[[Beat], None],
+        on_heartbeat: Callable[[NodeHeartbeat], None],
     ):
         self.members = members
         # Returns the heartbeat for nodes of the own region (True) or of others.
-        self.own_beat = own_beat
+        self.build_heartbeat = build_heartbeat
         self.clock = clock
-        self.on_beat = on_beat
+        self.on_heartbeat = on_heartbeat
 
     def send(self) -> None:
         """Send a heartbeat to the recipients of this period."""
@@ -34,15 +34,15 @@
 
     def send_to_all(self) -> None:
         """Send a heartbeat to all other nodes."""
-        self._send(*self.members.by_distance())
+        self._send(*self.members.local_and_remote_peers())
 
-    def _send(self, near: Iterable[Member], far: Iterable[Member]) -> None:
+    def _send(self, local: Iterable[Member], remote: Iterable[Member]) -> None:
         if self.transport is None:
             return
-        for is_near, members in ((True, near), (False, far)):
-            self._send_one(pack(self.own_beat(is_near)), members)
+        for is_local, members in ((True, local), (False, remote)):
+            self._send_each(pack(self.build_heartbeat(is_local)), members)
 
-    def _send_one(self, data: bytes, members: Iterable[Member]) -> None:
+    def _send_each(self, data: bytes, members: Iterable[Member]) -> None:
         for member in members:
             host, port = split_address(member.peer_address)
             try:
@@ -53,9 +53,9 @@
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
         """Decode and record a heartbeat."""
         try:
-            beat = unpack(datagram, Beat)
+            heartbeat = unpack(datagram, NodeHeartbeat)
         except SteeringError as error:
             get_logger().warning("bad_beat", sender=str(addr), error=error.message)
             return
-        if self.members.take_beat(beat, self.clock()):
-            self.on_beat(beat)
+        if self.members.record_heartbeat(heartbeat, self.clock()):
+            self.on_heartbeat(heartbeat)
--- a/ebonybend/node/caller_requests.py
+++ b/ebonybend/node/caller_requests.py
@@ -25,7 +25,7 @@
     # The most urgent route of the service, if it is more urgent than this one.
     urgent_route: Route | None
     # Whether the client retries after a refusal.
-    returned: bool = False
+    is_client_retry: bool = False
     # Version of the configuration by which the route was found.
     config_version: int = 0
     # Region to which the object is assigned.
--- a/ebonybend/node/decisions.py
+++ b/ebonybend/node/decisions.py
@@ -10,8 +10,8 @@
 # Lines per second for successful answers, and for refusals and failures. A line costs
 # about 20 us, so both together stay below 1% of a core.
 MAX_ANSWER_LINES_PER_S = 50
-MOST_FAILURES_PER_S = 200
-FAILED_STATUS = 500
+MAX_FAILURE_LINES_PER_S = 200
+MIN_FAILURE_STATUS = 500
 
 
 class LineBudget:
@@ -40,25 +40,25 @@
         return dropped
 
 
-class DecisionLog:
+class RequestLog:
     """Log the outcome of requests, with a larger limit for failures."""
 
     def __init__(self, clock: Callable[[], float], file: LossyFile):
         self.clock = clock
         self.file = file
         self.answers = LineBudget(MAX_ANSWER_LINES_PER_S)
-        self.failures = LineBudget(MOST_FAILURES_PER_S)
+        self.failures = LineBudget(MAX_FAILURE_LINES_PER_S)
 
-    def answered(
+    def record_outcome(
         self,
-        told: ClientHeaders | None,
+        client_headers: ClientHeaders | None,
         request: ClientRequest | None,
         status: int,
         seconds: float,
         error: SteeringError | None,
     ) -> None:
         """Log the outcome of a request; status 0 means that the client disconnected."""
-        failed = error is not None or status >= FAILED_STATUS or status == 0
+        failed = error is not None or status >= MIN_FAILURE_STATUS or status == 0
         budget = self.failures if failed else self.answers
         if not budget.allow(self.clock()):
             return
@@ -69,7 +69,7 @@
                 "config": request.config_version,
                 "service": request.service,
                 "region": request.region,
-                "returned": request.returned,
+                "returned": request.is_client_retry,
                 "object": request.object_key.decode("latin-1"),
                 "server": request.server,
                 "sends": request.sends,
@@ -80,7 +80,9 @@
             fields |= {"error": error.kind.value, "reason": error.message}
         get_logger().info(
             "request_ended",
-            request_id=told.request_id.decode("latin-1") if told else None,
+            request_id=client_headers.request_id.decode("latin-1")
+            if client_headers
+            else None,
             status=status,
             seconds=round(seconds, 4),
             **fields,
--- a/ebonybend/node/demand.py
+++ b/ebonybend/node/demand.py
@@ -17,7 +17,7 @@
 from ebonybend.world.route import Route
 
 # Smallest change of a traffic share that is logged.
-LOGGED_CHANGE = 0.05
+MIN_LOGGED_CHANGE = 0.05
 
 
 class RegionSteering:
@@ -40,29 +40,29 @@
         self.times = times
         self.members = members
         self.clock = clock
-        self.meters: dict[str, DemandMeter] = {}
+        self.demand_meters: dict[str, DemandMeter] = {}
         self.shares: dict[str, RegionShares] = {}
         # Detector of lost slots in the own region by service.
-        self.slots: dict[str, SlotLossDetector] = {}
+        self.slot_loss_detectors: dict[str, SlotLossDetector] = {}
         # Traffic shares from before the restart, in use until requests arrive.
-        self.restored: dict[str, dict[str, float]] = {}
+        self.restored_shares: dict[str, dict[str, float]] = {}
         # Services that received requests since the last update.
-        self.used: set[str] = set()
-        self.logged: dict[str, dict[str, float]] = {}
+        self.active_services: set[str] = set()
+        self.logged_shares: dict[str, dict[str, float]] = {}
 
-    def arrived(self, route: Route, service: str) -> None:
+    def record_request(self, route: Route, service: str) -> None:
         """Add a client request to the demand."""
-        self.used.add(service)
+        self.active_services.add(service)
         seconds = self.times.warm_time(route.name)
-        meter = self.meters.get(service)
+        meter = self.demand_meters.get(service)
         if meter is None:
-            meter = self.meters[service] = DemandMeter()
+            meter = self.demand_meters[service] = DemandMeter()
         meter.add(seconds, self.clock())
 
     def own_demand(self) -> dict[str, float]:
         """Return the demand at this node in slots by service."""
         now = self.clock()
-        return {name: meter.read(now) for name, meter in self.meters.items()}
+        return {name: meter.read(now) for name, meter in self.demand_meters.items()}
 
     def region_of(self, service: str, object_key: bytes) -> str:
         """Return the region to which an object is assigned."""
@@ -74,10 +74,10 @@
 
         Objects are still warm in the regions that these shares assign.
         """
-        for service, parts in shares.items():
-            if service not in self.meters:
-                self.restored[service] = dict(parts)
-                self.shares[service] = RegionShares(self.region, dict(parts))
+        for service, by_region in shares.items():
+            if service not in self.demand_meters:
+                self.restored_shares[service] = dict(by_region)
+                self.shares[service] = RegionShares(self.region, dict(by_region))
 
     def current_shares(self) -> dict[str, dict[str, float]]:
         """Return the traffic shares in use by service."""
@@ -87,25 +87,25 @@
         """Move the traffic shares toward those that the known demands require."""
         now = self.clock()
         demands = self._demands(now)
-        used, self.used = self.used, set()
-        for service in used:
-            self.restored.pop(service, None)
+        active_services, self.active_services = self.active_services, set()
+        for service in active_services:
+            self.restored_shares.pop(service, None)
         for service in self.table.by_service:
             # Objects are warm by the restored shares, so these change as slowly as
             # those of a service in use.
-            in_use = service in used or service in self.restored
-            self._follow(service, demands.get(service, {}), in_use, now)
+            in_use = service in active_services or service in self.restored_shares
+            self._update_service(service, demands.get(service, {}), in_use, now)
 
-    def _follow(
+    def _update_service(
         self, service: str, demand: Mapping[str, float], in_use: bool, now: float
     ) -> None:
         """Move the traffic shares of one service toward its target."""
         capacity = capacity_by_region(self.table, service, now)
         target = self._target(service, demand, capacity)
         slots = slots_in(self.table, service, self.region, now)
-        lost_fraction = self.slots.setdefault(service, SlotLossDetector()).update(
-            slots, now
-        )
+        lost_fraction = self.slot_loss_detectors.setdefault(
+            service, SlotLossDetector()
+        ).update(slots, now)
         shares = self.shares.setdefault(service, RegionShares(self.region))
         shares.move_toward(
             target, capacity, self.max_shift(), now, in_use, lost_fraction
@@ -116,9 +116,9 @@
         self, service: str, demand: Mapping[str, float], capacity: Mapping[str, float]
     ) -> Mapping[str, float]:
         """Return the target shares of a service."""
-        restored = self.restored.get(service)
-        if restored is not None:
-            return restored
+        restored_shares = self.restored_shares.get(service)
+        if restored_shares is not None:
+            return restored_shares
         if not any(demand.values()):
             demand = even_demand(self.all_regions(), capacity)
         return target_shares(self.region, demand, capacity)
@@ -131,11 +131,14 @@
         capacity: Mapping[str, float],
     ) -> None:
         """Log traffic shares that differ clearly from those logged last."""
-        known = self.logged.get(service, {self.region: 1.0})
-        names = {*known, *shares}
-        if all(abs(known.get(n, 0) - shares.get(n, 0)) < LOGGED_CHANGE for n in names):
+        previous = self.logged_shares.get(service, {self.region: 1.0})
+        names = {*previous, *shares}
+        if all(
+            abs(previous.get(n, 0) - shares.get(n, 0)) < MIN_LOGGED_CHANGE
+            for n in names
+        ):
             return
-        self.logged[service] = dict(shares)
+        self.logged_shares[service] = dict(shares)
         get_logger().info(
             "region_shares",
             service=service,
@@ -147,8 +150,8 @@
     def region_demand(self) -> dict[str, float]:
         """Return the demand at all live nodes of the own region by service."""
         found = self.own_demand()
-        for beat in self.members.fresh_beats(self.region, self.clock()):
-            for service, hundredths in beat.demand.items():
+        for heartbeat in self.members.live_heartbeats(self.region, self.clock()):
+            for service, hundredths in heartbeat.demand.items():
                 found[service] = found.get(service, 0.0) + hundredths / 100
         return found
 
@@ -157,14 +160,14 @@
 
         For another region this is the total in its most recent heartbeat.
         """
-        told = {self.region: self.region_demand()}
+        reported = {self.region: self.region_demand()}
         for region in self.all_regions():
-            beats = self.members.fresh_beats(region, now)
-            if region != self.region and beats:
-                newest = max(beats, key=lambda b: self.members.heard[b.name])
-                told[region] = {n: v / 100 for n, v in newest.demand.items()}
+            heartbeats = self.members.live_heartbeats(region, now)
+            if region != self.region and heartbeats:
+                latest = max(heartbeats, key=lambda b: self.members.last_seen[b.name])
+                reported[region] = {n: v / 100 for n, v in latest.demand.items()}
         found: dict[str, dict[str, float]] = {}
-        for region, demand in told.items():
+        for region, demand in reported.items():
             for service, slots in demand.items():
                 found.setdefault(service, {})[region] = slots
         return found
--- a/ebonybend/node/followed.py
+++ b/ebonybend/node/followed.py
@@ -6,7 +6,7 @@
 
 from ebonybend.logs import get_logger
 from ebonybend.node.lag import LagDetector
-from ebonybend.node.members import Beat, Members
+from ebonybend.node.members import Members, NodeHeartbeat
 from ebonybend.node.routing_state import RoutingState
 from ebonybend.node.settings import NodeSettings
 from ebonybend.node.wire import Documents
@@ -17,26 +17,26 @@
 from ebonybend.world import BackendServer
 
 # Added to the retention time of expired servers before the list is evaluated again.
-MARGIN_S = 0.05
+EXPIRY_MARGIN_S = 0.05
 # Index of the watch on servers.
-SERVERS = 1
+SERVERS_INDEX = 1
 # Changes within this time of one another are read in one call.
-GATHER_S = 0.4
+BATCH_DELAY_S = 0.4
 # The same for the list of nodes, whose changes heartbeats report sooner.
-GATHER_NODES_S = 1.0
+MEMBERS_BATCH_DELAY_S = 1.0
 # Long, because each answer without a change costs a call; a dead watch is detected by
 # keep-alive probes and by other nodes' heartbeats.
 WATCH_TIMEOUT_MS = 25_000
 # Bounds the delay until a recovered store is noticed; changes must take effect within
 # 2.5 s.
-LONGEST_BACKOFF_S = 0.8
+MAX_BACKOFF_S = 0.8
 
 
-def _ignore() -> None:
+def _do_nothing() -> None:
     """Do nothing when the store has recovered."""
 
 
-class FollowedState:
+class WatchedState:
     """Watch the store's objects and apply each change."""
 
     def __init__(
@@ -50,7 +50,7 @@
         members: Members,
         settings: Callable[[], NodeSettings],
         on_routing: Callable[[], None],
-        on_list: Callable[[Mapping[str, BackendServer]], None],
+        on_server_list: Callable[[Mapping[str, BackendServer]], None],
     ):
         self.documents = documents
         self.reactor = reactor
@@ -59,11 +59,11 @@
         self.members = members
         self.settings = settings
         self.on_routing = on_routing
-        self.on_list = on_list
-        self.lapsed = ExpiredServers()
+        self.on_server_list = on_server_list
+        self.expired = ExpiredServers()
         self.lag = LagDetector()
         # Version of each server's entry, and the decoded server.
-        self.decoded: dict[str, tuple[int, BackendServer | None]] = {}
+        self.decoded_servers: dict[str, tuple[int, BackendServer | None]] = {}
         self.watchers = [
             Watcher(
                 store,
@@ -72,15 +72,30 @@
                 random,
                 on_change,
                 batch_delay_s,
-                LONGEST_BACKOFF_S,
+                MAX_BACKOFF_S,
                 WATCH_TIMEOUT_MS,
                 on_recovery,
             )
             for kind, on_change, batch_delay_s, on_recovery in (
-                (documents.config_kind, self.on_config, GATHER_S, _ignore),
-                (documents.servers_kind, self.on_servers, GATHER_S, self.on_recovery),
-                (documents.evacuations_kind, self.on_evacuations, GATHER_S, _ignore),
-                (documents.members_kind, self.on_members, GATHER_NODES_S, _ignore),
+                (documents.config_kind, self.on_config, BATCH_DELAY_S, _do_nothing),
+                (
+                    documents.servers_kind,
+                    self.on_servers,
+                    BATCH_DELAY_S,
+                    self.on_recovery,
+                ),
+                (
+                    documents.evacuations_kind,
+                    self.on_evacuations,
+                    BATCH_DELAY_S,
+                    _do_nothing,
+                ),
+                (
+                    documents.members_kind,
+                    self.on_members,
+                    MEMBERS_BATCH_DELAY_S,
+                    _do_nothing,
+                ),
             )
         ]
 
@@ -94,24 +109,24 @@
         for watcher in self.watchers:
             watcher.stop()
 
-    def is_complete(self) -> bool:
+    def is_synchronised(self) -> bool:
         """Return whether routing, servers and evacuations are known."""
         listed = all(
             watcher.version is not None or watcher.last_contact is not None
-            for watcher in self.watchers[: SERVERS + 2]
+            for watcher in self.watchers[: SERVERS_INDEX + 2]
         )
         return listed and self.routing.version is not None
 
-    def newest(self) -> dict[str, int]:
+    def newest_versions(self) -> dict[str, int]:
         """Return the newest version of an object of each kind."""
         return {watcher.kind: watcher.newest_version for watcher in self.watchers}
 
-    def followed_s(self) -> float:
+    def store_contact_s(self) -> float:
         """Return for how long the watch on servers has been answered; 0 if it fails."""
-        since = self.watchers[SERVERS].available_since
+        since = self.watchers[SERVERS_INDEX].available_since
         return 0.0 if since is None else self.reactor.seconds() - since
 
-    def compare(self, beat: Beat) -> None:
+    def apply_heartbeat(self, heartbeat: NodeHeartbeat) -> None:
         """Compare the own state of the store with that of a heartbeat.
 
         Lists a kind again if the own version stays older than the reported one. Drops
@@ -119,19 +134,21 @@
         they were removed.
         """
         now = self.reactor.seconds()
-        if beat.followed_s and self.lapsed.remaining_s(now):
-            self.lapsed.record_store_available_since(now - beat.followed_s)
-            if not self.lapsed.remaining_s(now):
-                self.relist()
+        if heartbeat.followed_s and self.expired.remaining_s(now):
+            self.expired.record_store_available_since(now - heartbeat.followed_s)
+            if not self.expired.remaining_s(now):
+                self.reapply_servers()
         for watcher in self.watchers:
-            told = beat.newest.get(watcher.kind, 0)
-            if self.lag.is_behind(watcher.kind, watcher.newest_version, told, now):
+            reported = heartbeat.newest.get(watcher.kind, 0)
+            if self.lag.should_relist(
+                watcher.kind, watcher.newest_version, reported, now
+            ):
                 get_logger().warning(
                     "watch_behind",
                     kind=watcher.kind,
                     newest=watcher.newest_version,
-                    told=told,
-                    peer=beat.name,
+                    told=reported,
+                    peer=heartbeat.name,
                 )
                 watcher.resync()
 
@@ -146,7 +163,7 @@
         if config is None:
             get_logger().error("config_not_readable", version=stored.version)
             return
-        if self.routing.take(config):
+        if self.routing.apply(config):
             self.on_routing()
 
     def on_servers(
@@ -155,19 +172,21 @@
         """Apply the list of backend servers."""
         decoded = (self._decode_server(stored) for stored in objects.values())
         listed = {server.name: server for server in decoded if server is not None}
-        self.decoded = {name: self.decoded[name] for name in objects}
-        before = self.servers.states
+        self.decoded_servers = {name: self.decoded_servers[name] for name in objects}
+        previous = self.servers.states
         now = self.reactor.seconds()
-        known = {name: state.server for name, state in before.items()}
-        servers = self.lapsed.merge(known, listed, now)
+        known = {name: state.server for name, state in previous.items()}
+        servers = self.expired.merge(known, listed, now)
         missing = servers.keys() - listed.keys()
         if missing:
             get_logger().info("servers_kept", missing=sorted(missing))
-            self.reactor.callLater(self.lapsed.remaining_s(now) + MARGIN_S, self.relist)
+            self.reactor.callLater(
+                self.expired.remaining_s(now) + EXPIRY_MARGIN_S, self.reapply_servers
+            )
         self.servers.update(servers, now)
-        self.on_list(servers)
+        self.on_server_list(servers)
         for name, server in servers.items():
-            known = before.get(name)
+            known = previous.get(name)
             if known is None or known.server.state is not server.state:
                 get_logger().info(
                     "server_listed",
@@ -178,34 +197,34 @@
                     cold_s=server.cold_for_s,
                     revision=version,
                 )
-        for name in before.keys() - servers.keys():
+        for name in previous.keys() - servers.keys():
             get_logger().info("server_gone", server=name, revision=version)
 
     def _decode_server(self, stored: StoredObject) -> BackendServer | None:
         """Return a server; decode its entry only if it changed."""
-        known = self.decoded.get(stored.name)
+        known = self.decoded_servers.get(stored.name)
         if known is None or known[0] != stored.version:
             regions = self.settings().regions
             server = self.documents.decode_server(stored, regions)
-            known = self.decoded[stored.name] = stored.version, server
+            known = self.decoded_servers[stored.name] = stored.version, server
         return known[1]
 
-    def forget_decoded(self) -> None:
+    def redecode_servers(self) -> None:
         """Decode all servers again, because the regions of failure domains changed."""
-        self.decoded.clear()
-        self.relist()
+        self.decoded_servers.clear()
+        self.reapply_servers()
 
     def on_recovery(self) -> None:
         """Retain servers whose entries expired while the store was unreachable."""
         settle_s = self.settings().bounds.settle_s
-        unavailable_at = self.watchers[SERVERS].unavailable_at
-        self.lapsed.record_store_recovery(
+        unavailable_at = self.watchers[SERVERS_INDEX].unavailable_at
+        self.expired.record_store_recovery(
             self.reactor.seconds(), unavailable_at, settle_s
         )
 
-    def relist(self) -> None:
+    def reapply_servers(self) -> None:
         """Apply the last list of servers again, without servers that stayed expired."""
-        watcher = self.watchers[SERVERS]
+        watcher = self.watchers[SERVERS_INDEX]
         if watcher.version is None:
             return
         self.on_servers(watcher.kind, watcher.newest_version, watcher.objects)
--- a/ebonybend/node/forwarder.py
+++ b/ebonybend/node/forwarder.py
@@ -12,12 +12,12 @@
 from ebonybend.node.backend_connection import (
     AnswerNotReceived,
     BackendAnswer,
-    Loss,
+    LossReason,
 )
-from ebonybend.node.backend_pool import BackendPool, Unreachable
+from ebonybend.node.backend_pool import BackendPool, BackendUnreachable
 from ebonybend.node.caller_requests import ClientRequest
 from ebonybend.node.demand import RegionSteering
-from ebonybend.node.wire import Wire
+from ebonybend.node.wire import WireFormat
 from ebonybend.steering.crashes import CrashDetector
 from ebonybend.steering.placement import Placement, PlacementQuery, limits_of
 from ebonybend.steering.server_state import TrackedServer
@@ -41,19 +41,19 @@
     }
 )
 # Failed connection attempts after which a request is refused.
-MOST_UNREACHABLE = 3
+MAX_CONNECT_FAILURES = 3
 # With less time than this until the deadline, an answer can no longer arrive.
-LEAST_LEFT_S = 0.02
+MIN_REMAINING_S = 0.02
 # From this status on, an answer counts as a failure of the server.
-FAILURE_STATUS = 500
+MIN_FAILURE_STATUS = 500
 
 
 @define
-class _Search:
+class _Progress:
     """The attempts made so far for one request."""
 
     excluded: set[str] = field(factory=set)
-    unreachable: int = 0
+    connect_failures: int = 0
     # A server's failure status, passed on if no other server answers.
     answer: BackendAnswer | None = None
     error: SteeringError = field(
@@ -70,9 +70,9 @@
         pool: BackendPool,
         placement: Placement,
         regions: RegionSteering,
-        wire: Wire,
-        new_window: Callable[[], RetryWindow],
-        nodes: Callable[[], int],
+        wire: WireFormat,
+        new_retry_window: Callable[[], RetryWindow],
+        node_count: Callable[[], int],
         random: Random,
         crashes: CrashDetector,
     ):
@@ -82,17 +82,17 @@
         self.regions = regions
         self.times = placement.times
         self.wire = wire
-        self.new_window = new_window
-        self.nodes = nodes
+        self.new_retry_window = new_retry_window
+        self.node_count = node_count
         self.random = random
         self.crashes = crashes
-        self.windows: dict[str, RetryWindow] = {}
+        self.retry_windows: dict[str, RetryWindow] = {}
         self.services: dict[str, ServiceLimits] = {}
 
-    def _window(self, service: str) -> RetryWindow:
-        window = self.windows.get(service)
+    def _retry_window(self, service: str) -> RetryWindow:
+        window = self.retry_windows.get(service)
         if window is None:
-            window = self.windows[service] = self.new_window()
+            window = self.retry_windows[service] = self.new_retry_window()
         return window
 
     async def forward(self, request: ClientRequest) -> BackendAnswer:
@@ -100,60 +100,64 @@
 
         Raises a SteeringError whose kind states whether the request may have run.
         """
-        self.regions.arrived(request.route, request.service)
+        self.regions.record_request(request.route, request.service)
         self._refuse_suspect(request)
-        search = _Search()
+        progress = _Progress()
         while True:
-            state = self._next_server(request, search)
+            state = self._select_server(request, progress)
             if state is None:
-                return self._conclude(request, search)
-            search.excluded.add(state.server.name)
+                return self._final_answer(request, progress)
+            progress.excluded.add(state.server.name)
             try:
                 answer = await self._send(request, state)
-            except Unreachable as failure:
-                search.unreachable += 1
-                if failure.at_fault:
-                    self._unreachable(state, failure.refused, str(failure))
+            except BackendUnreachable as failure:
+                progress.connect_failures += 1
+                if failure.counts_as_failure:
+                    self._record_unreachable(state, failure.refused, str(failure))
                 if failure.refused:
                     self.crashes.record_refused_connection(state.server.name)
-                search.error = SteeringError(
+                progress.error = SteeringError(
                     ErrorKind.BACKEND_UNREACHABLE, str(failure)
                 )
                 continue
             except AnswerNotReceived as failure:
-                if failure.loss is Loss.SILENT:
-                    self._unreachable(state, False, str(failure))
+                if failure.loss is LossReason.UNACKNOWLEDGED:
+                    self._record_unreachable(state, False, str(failure))
                 else:
-                    self._failed(state, str(failure))
-                if failure.loss in (Loss.CLOSED, Loss.SILENT):
+                    self._record_failure(state, str(failure))
+                if failure.loss in (LossReason.CLOSED, LossReason.UNACKNOWLEDGED):
                     self.crashes.record_lost_request(
                         state.server.name, _fingerprint(request)
                     )
-                search.error = SteeringError(
+                progress.error = SteeringError(
                     ErrorKind.ANSWER_LOST, f"no whole answer: {failure}"
                 )
                 continue
             if self.wire.states_not_run(answer.status, answer.headers):
-                search.error = SteeringError(
+                progress.error = SteeringError(
                     ErrorKind.OVERLOADED, f"the server answered {answer.status}"
                 )
                 continue
-            search.answer = answer
-            if answer.status < FAILURE_STATUS or not request.route.idempotent:
+            progress.answer = answer
+            if answer.status < MIN_FAILURE_STATUS or not request.route.idempotent:
                 return answer
 
-    def _failed(self, state: TrackedServer, reason: str) -> None:
-        before = state.ejected_until
+    def _record_failure(self, state: TrackedServer, reason: str) -> None:
+        previous_ejected_until = state.ejected_until
         state.record_failure(self._now())
-        self._log_ejection(state, before, reason)
+        self._log_ejection(state, previous_ejected_until, reason)
 
-    def _unreachable(self, state: TrackedServer, refused: bool, reason: str) -> None:
-        before = state.ejected_until
+    def _record_unreachable(
+        self, state: TrackedServer, refused: bool, reason: str
+    ) -> None:
+        previous_ejected_until = state.ejected_until
         state.record_unreachable(self._now(), refused)
-        self._log_ejection(state, before, reason)
+        self._log_ejection(state, previous_ejected_until, reason)
 
-    def _log_ejection(self, state: TrackedServer, before: float, reason: str) -> None:
-        if state.ejected_until != before:
+    def _log_ejection(
+        self, state: TrackedServer, previous_ejected_until: float, reason: str
+    ) -> None:
+        if state.ejected_until != previous_ejected_until:
             get_logger().info(
                 "server_left_out",
                 server=state.server.name,
@@ -169,52 +173,56 @@
         if self.crashes.is_refused(name):
             raise SteeringError(ErrorKind.SUSPECT_REFUSED, f"suspect {name}")
 
-    def _next_server(
-        self, request: ClientRequest, search: "_Search"
+    def _select_server(
+        self, request: ClientRequest, progress: "_Progress"
     ) -> TrackedServer | None:
         """Return the server to send to next; None if the request can't be sent."""
         now = self.reactor.seconds()
-        if request.deadline - now < LEAST_LEFT_S:
+        if request.deadline - now < MIN_REMAINING_S:
             return None
-        if search.unreachable >= MOST_UNREACHABLE:
+        if progress.connect_failures >= MAX_CONNECT_FAILURES:
             return None
         if request.may_have_run and not request.route.idempotent:
             return None
         if request.sends >= request.route.max_sends:
             return None
-        state = self._choose(request, search.excluded, now)
+        state = self._choose_server(request, progress.excluded, now)
         if state is None or not request.sends:
             return state
-        repeats = self._window(request.service)
-        return state if repeats.try_acquire(now, self.nodes()) else None
+        retry_window = self._retry_window(request.service)
+        return state if retry_window.try_acquire(now, self.node_count()) else None
 
-    def _conclude(self, request: ClientRequest, search: "_Search") -> BackendAnswer:
+    def _final_answer(
+        self, request: ClientRequest, progress: "_Progress"
+    ) -> BackendAnswer:
         """Return a server's failure status if there is one, or raise the last error."""
-        if search.answer is not None:
-            return search.answer
+        if progress.answer is not None:
+            return progress.answer
         if not request.may_have_run:
-            query = self._query(request, set())
-            pause = self.placement.retry_after_s(query, self._now())
+            query = self._placement_query(request, set())
+            delay_s = self.placement.retry_after_s(query, self._now())
             # Jitter, so that clients refused at the same moment don't retry together.
-            pause *= 1.0 + self.random.random() / 2
+            delay_s *= 1.0 + self.random.random() / 2
             loads = self.placement.describe(query, self._now())
             raise SteeringError(
                 ErrorKind.OVERLOADED,
-                f"{search.error.message}: {loads}",
-                int(pause * 1000),
+                f"{progress.error.message}: {loads}",
+                int(delay_s * 1000),
             )
-        raise SteeringError(ErrorKind.ANSWER_LOST, search.error.message)
+        raise SteeringError(ErrorKind.ANSWER_LOST, progress.error.message)
 
     def _now(self) -> float:
         return self.reactor.seconds()
 
-    def _choose(
+    def _choose_server(
         self, request: ClientRequest, excluded: set[str], now: float
     ) -> TrackedServer | None:
-        return self.placement.choose(self._query(request, excluded), now)
+        return self.placement.choose(self._placement_query(request, excluded), now)
 
-    def _query(self, request: ClientRequest, excluded: set[str]) -> PlacementQuery:
-        left = request.deadline - self.reactor.seconds()
+    def _placement_query(
+        self, request: ClientRequest, excluded: set[str]
+    ) -> PlacementQuery:
+        remaining_s = request.deadline - self.reactor.seconds()
         request.region = self.regions.region_of(request.service, request.object_key)
         return PlacementQuery(
             service=limits_of(self.services, request.service),
@@ -222,7 +230,7 @@
             object_key=request.object_key,
             region=request.region,
             urgent_route=request.urgent_route,
-            retry_remaining_s=left if request.returned else None,
+            retry_remaining_s=remaining_s if request.is_client_retry else None,
             excluded=excluded,
         )
 
@@ -232,43 +240,45 @@
         """Send a request to a server and wait for its answer until the deadline."""
         server = state.server
         if state.is_cold(self.reactor.seconds()):
-            service = limits_of(self.services, request.service)
+            limits = limits_of(self.services, request.service)
             state.pacer.record_send(
-                self.reactor.seconds(), service.cold_rate, self.nodes()
+                self.reactor.seconds(), limits.cold_rate, self.node_count()
             )
         state.in_flight += 1
         try:
-            connection = self.pool.take(server, not request.route.idempotent)
+            connection = self.pool.acquire(server, not request.route.idempotent)
             if connection is None:
-                opening = self.reactor.seconds()
+                connect_started = self.reactor.seconds()
                 connection = await self.pool.connect(server)
-                state.record_connect_time(self.reactor.seconds() - opening)
+                state.record_connect_time(self.reactor.seconds() - connect_started)
             started = self.reactor.seconds()
-            if request.deadline - started < LEAST_LEFT_S:
+            if request.deadline - started < MIN_REMAINING_S:
                 connection.close()
-                raise Unreachable("connected too late to be answered", False, False)
+                raise BackendUnreachable(
+                    "connected too late to be answered", False, False
+                )
             if request.sends == 0:
-                self._window(request.service).record_first_send(started)
+                self._retry_window(request.service).record_first_send(started)
             request.sends += 1
             request.server = server.name
             request.load = round(state.load(started) - 1, 1)
-            ran_before = request.may_have_run
+            may_have_run_before = request.may_have_run
             request.may_have_run = True
-            data = self._encode(request, server.name, started)
+            data = self._encode_request(request, server.name, started)
             answer = await self._await_answer(
                 connection.send(request.method, request.request_id, data), request
             )
         except SteeringError as error:
-            self._failed(state, error.message)
+            self._record_failure(state, error.message)
             raise
         finally:
             state.in_flight -= 1
         if self.wire.states_not_run(answer.status, answer.headers):
-            request.may_have_run = ran_before
-        self._learn(request, state, answer, started)
+            request.may_have_run = may_have_run_before
+        self._record_answer(request, state, answer, started)
         return answer
 
-    def _learn(
+    def _record_answer(
         self,
         request: ClientRequest,
         state: TrackedServer,
@@ -281,8 +291,8 @@
             state.record_load(load.running, load.waiting, now)
         if self.wire.states_not_run(answer.status, answer.headers):
             return
-        if answer.status >= FAILURE_STATUS:
-            self._failed(state, f"answered {answer.status}")
+        if answer.status >= MIN_FAILURE_STATUS:
+            self._record_failure(state, f"answered {answer.status}")
         else:
             seconds = max(now - started - (state.round_trip_s or 0.0), 0.001)
             state.record_success(seconds)
@@ -296,18 +306,18 @@
     async def _await_answer(
         self, waiting: Deferred[BackendAnswer], request: ClientRequest
     ) -> BackendAnswer:
-        left = max(request.deadline - self.reactor.seconds(), 0.0)
+        remaining_s = max(request.deadline - self.reactor.seconds(), 0.0)
         expired = []
 
         def expire() -> None:
             expired.append(True)
             waiting.cancel()
 
-        timeout = Timeout(self.reactor, left, expire)
+        timeout = Timeout(self.reactor, remaining_s, expire)
         try:
             return await waiting
         except AnswerNotReceived as error:
-            if error.loss is Loss.ABORTED and not expired:
+            if error.loss is LossReason.ABORTED and not expired:
                 # The client disconnected, so the request isn't retried.
                 raise CancelledError from error
             if expired:
@@ -318,16 +328,16 @@
         finally:
             timeout.stop()
 
-    def _encode(self, request: ClientRequest, server: str, now: float) -> bytes:
-        own = self.wire.server_headers(server, request.deadline - now)
-        replaced = {name.lower() for name, _ in own}
+    def _encode_request(self, request: ClientRequest, server: str, now: float) -> bytes:
+        added_headers = self.wire.server_headers(server, request.deadline - now)
+        replaced = {name.lower() for name, _ in added_headers}
         lines = [b"%s %s HTTP/1.1" % (request.method, request.uri)]
         for name, values in request.headers.getAllRawHeaders():
             lowered = name.lower()
             if lowered in CONNECTION_HEADERS or lowered in replaced:
                 continue
             lines += [b"%s: %s" % (name, value) for value in values]
-        lines += [b"%s: %s" % pair for pair in own]
+        lines += [b"%s: %s" % pair for pair in added_headers]
         if request.body or request.method not in (b"GET", b"HEAD", b"DELETE"):
             lines.append(b"Content-Length: %d" % len(request.body))
         return b"\r\n".join(lines) + b"\r\n\r\n" + request.body
--- a/ebonybend/node/kept_state.py
+++ b/ebonybend/node/kept_state.py
@@ -10,7 +10,7 @@
 from ebonybend.logs import get_logger
 from ebonybend.node.demand import RegionSteering
 from ebonybend.node.members import Members
-from ebonybend.node.wire import Documents, KeptState
+from ebonybend.node.wire import Documents, RegionCheckpoint
 from ebonybend.steering.service_times import ServiceTimes
 from ebonybend.store.client import ObjectStore, StoreFailure, StoreFailureKind
 from ebonybend.store.watcher import Backoff
@@ -19,13 +19,13 @@
 # Traffic shares change by less than a sixth in this time.
 WRITE_PERIOD_S = 4.0
 # Smallest change of a traffic share that is written; each write is a call.
-WRITTEN_CHANGE = 0.03
+MIN_WRITTEN_CHANGE = 0.03
 # An older checkpoint is ignored, because the load has changed since.
-MOST_AGE_S = 60.0
+MAX_AGE_S = 60.0
 MS_PER_S = 1000
 
 
-class StateKeeper:
+class CheckpointManager:
     """Restore the checkpoint at the start; a region's first live node writes it."""
 
     def __init__(
@@ -49,59 +49,59 @@
         self.backoff = backoff
         # Version of the object in the store; 0 if there is none.
         self.version = 0
-        self.written: Mapping[str, Mapping[str, float]] = {}
+        self.written_shares: Mapping[str, Mapping[str, float]] = {}
         # Whether the store has answered the first read.
-        self.is_read = False
+        self.is_loaded = False
 
     async def restore(self, tasks: Tasks) -> None:
         """Read the checkpoint and apply it; retry until the store answers."""
-        kind, region = self.documents.kept_kind, self.regions.region
+        kind, region = self.documents.checkpoint_kind, self.regions.region
         while not tasks.stopped:
             found = await self.store.get(kind, region)
             if isinstance(found, Success):
-                self._take(self.documents.decode_kept(found.unwrap()))
+                self._apply(self.documents.decode_checkpoint(found.unwrap()))
                 self.version = found.unwrap().version
-                self.is_read = True
+                self.is_loaded = True
                 return
             if found.failure().kind is StoreFailureKind.NOT_FOUND:
-                self.is_read = True
+                self.is_loaded = True
                 return
             get_logger().info("kept_state_not_read", error=found.failure().message)
             await tasks.sleep(self.backoff.next())
 
-    def _take(self, state: KeptState | None) -> None:
-        if state is None:
+    def _apply(self, checkpoint: RegionCheckpoint | None) -> None:
+        if checkpoint is None:
             get_logger().error("kept_state_not_readable")
             return
-        age_s = self.wall_clock() - state.written_ms / MS_PER_S
-        used = abs(age_s) <= MOST_AGE_S
+        age_s = self.wall_clock() - checkpoint.written_ms / MS_PER_S
+        used = abs(age_s) <= MAX_AGE_S
         get_logger().info("kept_state_read", age_s=round(age_s, 1), used=used)
         if used:
-            self.regions.restore(state.shares)
-            self.times.restore(state.times)
+            self.regions.restore(checkpoint.shares)
+            self.times.restore(checkpoint.times)
 
     async def write(self) -> None:
         """Write the checkpoint if it changed and this node is the region's writer."""
         shares = self.regions.current_shares()
-        if not self.is_read or not self._is_first() or not self._changed(shares):
+        if not self.is_loaded or not self._is_writer() or not self._has_changed(shares):
             return
         written_ms = int(self.wall_clock() * MS_PER_S)
-        state = KeptState(written_ms, shares, dict(self.times.routes))
-        kind, region = self.documents.kept_kind, self.regions.region
-        value = self.documents.encode_kept(state)
+        checkpoint = RegionCheckpoint(written_ms, shares, dict(self.times.routes))
+        kind, region = self.documents.checkpoint_kind, self.regions.region
+        value = self.documents.encode_checkpoint(checkpoint)
         result = await self.store.put(kind, region, value, self.version)
-        if self._learn_version(result):
+        if self._update_version(result):
             # The version came from a write whose answer was lost, or from another node.
             result = await self.store.put(kind, region, value, self.version)
-            self._learn_version(result)
+            self._update_version(result)
         if isinstance(result, Success):
-            self.written = shares
+            self.written_shares = shares
         else:
             # Retried in the next period.
             error = result.failure().message
             get_logger().info("kept_state_not_written", error=error)
 
-    def _learn_version(self, result: Result[int, StoreFailure]) -> bool:
+    def _update_version(self, result: Result[int, StoreFailure]) -> bool:
         """Record the object's version; return whether a write conflicted with it."""
         if isinstance(result, Success):
             self.version = result.unwrap()
@@ -115,15 +115,18 @@
             return True
         return False
 
-    def _is_first(self) -> bool:
+    def _is_writer(self) -> bool:
         now = self.clock()
-        names = [b.name for b in self.members.fresh_beats(self.regions.region, now)]
+        names = [
+            heartbeat.name
+            for heartbeat in self.members.live_heartbeats(self.regions.region, now)
+        ]
         return self.members.own.name <= min(names, default=self.members.own.name)
 
-    def _changed(self, shares: Mapping[str, Mapping[str, float]]) -> bool:
+    def _has_changed(self, shares: Mapping[str, Mapping[str, float]]) -> bool:
         return any(
-            abs(share - self.written.get(service, {}).get(region, 0.0))
-            >= WRITTEN_CHANGE
-            for service, parts in shares.items()
-            for region, share in parts.items()
+            abs(share - self.written_shares.get(service, {}).get(region, 0.0))
+            >= MIN_WRITTEN_CHANGE
+            for service, by_region in shares.items()
+            for region, share in by_region.items()
         )
--- a/ebonybend/node/lag.py
+++ b/ebonybend/node/lag.py
@@ -1,9 +1,9 @@
 """Detect from other nodes' heartbeats that a watch no longer reports changes."""
 
 # A working watch reports a change at most this much later than another node's watch.
-PATIENCE_S = 0.6
+LAG_TOLERANCE_S = 0.6
 # Least time between two lists of one kind that a lag triggers.
-PAUSE_S = 2.0
+RELIST_INTERVAL_S = 2.0
 
 
 class LagDetector:
@@ -11,23 +11,23 @@
 
     def __init__(self) -> None:
         # Newer version that is missing for each kind, and the time since when.
-        self.missing: dict[str, tuple[int, float]] = {}
-        self.hurried_at: dict[str, float] = {}
+        self.missing_versions: dict[str, tuple[int, float]] = {}
+        self.relisted_at: dict[str, float] = {}
 
-    def is_behind(self, kind: str, own: int, told: int, now: float) -> bool:
+    def should_relist(self, kind: str, own: int, reported: int, now: float) -> bool:
         """Record a version that another node reports; return whether to list again."""
-        known = self.missing.get(kind)
+        known = self.missing_versions.get(kind)
         if known is not None and own >= known[0]:
-            del self.missing[kind]
+            del self.missing_versions[kind]
             known = None
-        if told <= own:
+        if reported <= own:
             return False
         if known is None:
-            self.missing[kind] = (told, now)
+            self.missing_versions[kind] = (reported, now)
             return False
-        if now - known[1] < PATIENCE_S:
+        if now - known[1] < LAG_TOLERANCE_S:
             return False
-        if now - self.hurried_at.get(kind, float("-inf")) < PAUSE_S:
+        if now - self.relisted_at.get(kind, float("-inf")) < RELIST_INTERVAL_S:
             return False
-        self.hurried_at[kind] = now
+        self.relisted_at[kind] = now
         return True
--- a/ebonybend/node/membership.py
+++ b/ebonybend/node/membership.py
@@ -12,7 +12,7 @@
 from ebonybend.tasks import Tasks
 
 
-class OwnEntry:
+class OwnEntryWriter:
     """Write the node's own entry to the store."""
 
     def __init__(
--- a/ebonybend/node/metrics.py
+++ b/ebonybend/node/metrics.py
@@ -23,17 +23,20 @@
         )
         self.answers = Counter(
             "ebonybend_answers",
-            "Answers by status; 0 stands for a caller that left.",
+            "Answers by status; 0 means that the client disconnected.",
             ("route", "status"),
             **options,
         )
         self.refusals = Counter(
-            "ebonybend_refusals", "Own failures by kind.", ("kind",), **options
+            "ebonybend_refusals",
+            "Requests that failed in this node, by kind of error.",
+            ("kind",),
+            **options,
         )
         self.store_calls = Gauge(
             "ebonybend_store_calls", "Calls to the store since the start.", **options
         )
-        self.opened = Gauge(
+        self.connections_opened = Gauge(
             "ebonybend_backend_connections_opened",
             "Connections opened to backend servers since the start.",
             **options,
@@ -41,9 +44,13 @@
         self.config_version = Gauge(
             "ebonybend_config_version", "Configuration in force.", **options
         )
-        self.nodes = Gauge("ebonybend_nodes_alive", "Nodes heard lately.", **options)
+        self.nodes_alive = Gauge(
+            "ebonybend_nodes_alive",
+            "Nodes with a recent heartbeat, this one included.",
+            **options,
+        )
 
-    def answered(
+    def record_outcome(
         self, route: str, status: int, error: SteeringError | None, seconds: float
     ) -> None:
         """Record the outcome of a request."""
--- a/ebonybend/node/ports.py
+++ b/ebonybend/node/ports.py
@@ -4,15 +4,15 @@
 
 from ebonybend.http_router import Router
 from ebonybend.http_server import IncomingRequest, OutgoingAnswer
-from ebonybend.node.members import Members, nearest
+from ebonybend.node.members import Members, members_in_region
 from ebonybend.node.metrics import NodeMetrics
-from ebonybend.node.wire import Wire
+from ebonybend.node.wire import WireFormat
 
 # Time for which clients cache a directory answer. Some cache it three times as long,
 # and all must drop a stopping node within its grace time.
 LOOKUP_LIFETIME_S = 2.0
 # Clients read at most 64 addresses of an answer.
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 JSON = {"Content-Type": "application/json"}
 
 
@@ -22,24 +22,24 @@
     def __init__(
         self,
         members: Members,
-        wire: Wire,
+        wire: WireFormat,
         own_ready: Callable[[], bool],
         clock: Callable[[], float],
-        most_lifetime_s: float,
+        max_lifetime_s: float,
     ):
         self.members = members
         self.wire = wire
         self.own_ready = own_ready
         self.clock = clock
-        self.lifetime_s = min(LOOKUP_LIFETIME_S, most_lifetime_s)
+        self.lifetime_s = min(LOOKUP_LIFETIME_S, max_lifetime_s)
         self.router = Router()
         self.router.add("GET", wire.lookup_path, self.lookup)
 
     async def lookup(self, incoming: IncomingRequest) -> OutgoingAnswer:
         """Return the addresses of the ready nodes in the client's region."""
         domain, region = self.wire.read_lookup(incoming.query)
-        usable = self.members.usable(self.clock(), self.own_ready())
-        chosen = nearest(usable, domain, region)[:MOST_ADDRESSES]
+        candidates = self.members.ready_members(self.clock(), self.own_ready())
+        chosen = members_in_region(candidates, domain, region)[:MAX_ADDRESSES]
         if not chosen:
             return OutgoingAnswer(503, b"no node is ready\n")
         addresses = [member.callers_address for member in chosen]
@@ -47,7 +47,7 @@
         return OutgoingAnswer(200, body, JSON)
 
 
-def readiness_router(wire: Wire, own_ready: Callable[[], bool]) -> Router:
+def readiness_router(wire: WireFormat, own_ready: Callable[[], bool]) -> Router:
     """Return the handler that reports whether this node accepts clients."""
 
     async def ready(_incoming: IncomingRequest) -> OutgoingAnswer:
--- a/ebonybend/node/routing_state.py
+++ b/ebonybend/node/routing_state.py
@@ -17,10 +17,10 @@
         self.limits = ClientLimits()
         # The most urgent route of each service.
         self.most_urgent: dict[str, Route] = {}
-        self.parts = PartChooser()
-        self.returns = ClientRetryDetector()
+        self.part_chooser = PartChooser()
+        self.client_retry_detector = ClientRetryDetector()
 
-    def take(self, config: RoutingConfig) -> bool:
+    def apply(self, config: RoutingConfig) -> bool:
         """Apply a configuration if it is newer; return whether it was applied."""
         if self.version is not None and config.version <= self.version:
             return False
@@ -30,9 +30,9 @@
         self.services = {service.name: service for service in config.services}
         self.limits = config.limits
         self.most_urgent = _most_urgent(config)
-        names = {route.name for route in config.routes}
-        self.parts.forget_except(names)
-        self.returns.retain(names)
+        route_names = {route.name for route in config.routes}
+        self.part_chooser.forget_except(route_names)
+        self.client_retry_detector.retain(route_names)
         get_logger().info(
             "config_in_force",
             version=config.version,
@@ -54,7 +54,7 @@
 def _most_urgent(config: RoutingConfig) -> dict[str, Route]:
     found: dict[str, Route] = {}
     for route in config.routes:
-        for part in route.parts:
+        for part in route.part_chooser:
             known = found.get(part.service, route)
             found[part.service] = min(known, route, key=_urgency)
     return found
--- a/ebonybend/node/service.py
+++ b/ebonybend/node/service.py
@@ -13,21 +13,21 @@
 from ebonybend.listening import listen
 from ebonybend.logs import LossyFile, get_logger
 from ebonybend.node.backend_pool import BackendPool
-from ebonybend.node.beats import BeatPort
+from ebonybend.node.beats import HeartbeatProtocol
 from ebonybend.node.callers import ClientPort
-from ebonybend.node.decisions import DecisionLog
+from ebonybend.node.decisions import RequestLog
 from ebonybend.node.demand import RegionSteering
-from ebonybend.node.followed import FollowedState
+from ebonybend.node.followed import WatchedState
 from ebonybend.node.forwarder import Forwarder
-from ebonybend.node.kept_state import WRITE_PERIOD_S, StateKeeper
-from ebonybend.node.members import BEAT_PERIOD_S, Beat, Member, Members
-from ebonybend.node.membership import OwnEntry
+from ebonybend.node.kept_state import WRITE_PERIOD_S, CheckpointManager
+from ebonybend.node.members import HEARTBEAT_PERIOD_S, Member, Members, NodeHeartbeat
+from ebonybend.node.membership import OwnEntryWriter
 from ebonybend.node.metrics import NodeMetrics
 from ebonybend.node.ports import Directory, metrics_router, readiness_router
 from ebonybend.node.routing_state import RoutingState
 from ebonybend.node.settings import NodeSettings
 from ebonybend.node.stop import NodeStop
-from ebonybend.node.wire import Documents, Wire
+from ebonybend.node.wire import Documents, WireFormat
 from ebonybend.steering.crashes import CrashDetector
 from ebonybend.steering.placement import Placement
 from ebonybend.steering.server_state import ServerTable
@@ -45,7 +45,7 @@
 # Descriptors reserved for the store, other nodes, files and backend servers.
 RESERVED_DESCRIPTORS = 600
 # Client connections that a node accepts however few descriptors it has.
-LEAST_CONNECTIONS = 100
+MIN_CONNECTIONS = 100
 
 
 class NodeService:
@@ -56,7 +56,7 @@
         reactor: Any,
         settings: NodeSettings,
         store: ObjectStore,
-        wire: Wire,
+        wire: WireFormat,
         documents: Documents,
         metrics_port: int,
         reload: Callable[[], NodeSettings],
@@ -75,7 +75,7 @@
         self.routing = RoutingState()
         self.servers = ServerTable()
         self.pool = BackendPool(reactor, wire.request_id_header)
-        self.decisions = DecisionLog(reactor.seconds, log_file)
+        self.request_log = RequestLog(reactor.seconds, log_file)
         self.own = Member(
             settings.name,
             settings.failure_domain,
@@ -85,10 +85,10 @@
             int(time() * MS_PER_S),
         )
         self.members = Members(self.own)
-        self.beat_count = 0
+        self.heartbeat_count = 0
         self.crashes = CrashDetector(ReactorClock(reactor))
         self.forwarder = self._build_forwarder()
-        self.followed = FollowedState(
+        self.watched = WatchedState(
             store,
             documents,
             reactor,
@@ -100,7 +100,7 @@
             self.on_routing,
             self.on_servers,
         )
-        self.keeper = StateKeeper(
+        self.checkpoints = CheckpointManager(
             store,
             documents,
             self.regions,
@@ -111,8 +111,8 @@
             Backoff(self.random),
         )
         self._build_sites()
-        self.beats = BeatPort(
-            self.members, self.own_beat, reactor.seconds, self.on_beat
+        self.heartbeats = HeartbeatProtocol(
+            self.members, self.build_heartbeat, reactor.seconds, self.on_heartbeat
         )
         self.stop = NodeStop(
             reactor,
@@ -120,7 +120,7 @@
             self.announce_stop,
             self.close_ports,
             lambda: self.client_site.running,
-            self.end,
+            self.shut_down,
         )
 
     def _build_forwarder(self) -> Forwarder:
@@ -140,13 +140,13 @@
             Placement(self.servers, self.times),
             self.regions,
             self.wire,
-            self.new_window,
-            self.members.count,
+            self.new_retry_window,
+            self.members.node_count,
             self.random,
             self.crashes,
         )
 
-    def new_window(self) -> RetryWindow:
+    def new_retry_window(self) -> RetryWindow:
         """Return a new retry budget for one service."""
         bounds = self.settings.bounds
         return RetryWindow(
@@ -161,8 +161,8 @@
             self.wire,
             self.reactor.seconds,
             self.metrics,
-            self.decisions,
-            self.followed.is_complete,
+            self.request_log,
+            self.watched.is_synchronised,
         )
         directory = Directory(
             self.members,
@@ -171,7 +171,7 @@
             self.reactor.seconds,
             settings.bounds.max_lookup_s,
         )
-        self.client_site = HttpSite(self.reactor, callers.handle, self._limits())
+        self.client_site = HttpSite(self.reactor, callers.handle, self._http_limits())
         self.client_site.cancels_abandoned = True
         self.sites = {
             settings.callers_address: self.client_site,
@@ -188,7 +188,7 @@
     def _site(self, handler: Any) -> HttpSite:
         return HttpSite(self.reactor, handler, HttpLimits(max_connections=500))
 
-    def _limits(self) -> HttpLimits:
+    def _http_limits(self) -> HttpLimits:
         limits = self.routing.limits
         return HttpLimits(
             max_body_bytes=limits.max_body_bytes,
@@ -203,35 +203,35 @@
 
     def is_ready(self) -> bool:
         """Return whether clients may use this node."""
-        return self.followed.is_complete() and not self.stop.stopping
+        return self.watched.is_synchronised() and not self.stop.stopping
 
-    def own_beat(self, is_near: bool) -> Beat:
+    def build_heartbeat(self, is_local: bool) -> NodeHeartbeat:
         """Return the next heartbeat for nodes of the own region or of other regions."""
         regions = self.regions
-        demand = regions.own_demand() if is_near else regions.region_demand()
-        self.beat_count += 1
-        return Beat(
+        demand = regions.own_demand() if is_local else regions.region_demand()
+        self.heartbeat_count += 1
+        return NodeHeartbeat(
             name=self.own.name,
             incarnation=self.own.incarnation,
-            count=self.beat_count,
+            count=self.heartbeat_count,
             ready=self.is_ready(),
             demand={name: round(slots * 100) for name, slots in demand.items()},
             suspects=self.crashes.suspects_to_report(),
-            newest=self.followed.newest(),
-            followed_s=self.followed.followed_s(),
+            newest=self.watched.newest_versions(),
+            followed_s=self.watched.store_contact_s(),
             member=self.own,
         )
 
-    def on_beat(self, beat: Beat) -> None:
+    def on_heartbeat(self, heartbeat: NodeHeartbeat) -> None:
         """Apply the suspects and the versions that another node reports."""
-        if beat.suspects:
-            self.crashes.registry.merge(*beat.suspects)
-        self.followed.compare(beat)
+        if heartbeat.suspects:
+            self.crashes.registry.merge(*heartbeat.suspects)
+        self.watched.apply_heartbeat(heartbeat)
 
     def on_routing(self) -> None:
         """Apply the services and limits of a new configuration."""
         self.forwarder.services = self.routing.services
-        self.client_site.limits = self._limits()
+        self.client_site.limits = self._http_limits()
 
     def on_servers(self, servers: Mapping[str, BackendServer]) -> None:
         """Drop connections and statistics of removed servers and routes."""
@@ -244,9 +244,9 @@
     def refresh_metrics(self) -> None:
         """Update the gauges before the metrics are served."""
         self.metrics.store_calls.set(getattr(self.store, "platform_calls", 0))
-        self.metrics.opened.set(self.pool.opened)
+        self.metrics.connections_opened.set(self.pool.connections_opened)
         self.metrics.config_version.set(self.routing.version or 0)
-        self.metrics.nodes.set(self.members.alive_count(self.reactor.seconds()))
+        self.metrics.nodes_alive.set(self.members.alive_count(self.reactor.seconds()))
 
     def start(self) -> None:
         """Open the ports, watch the store and start the periodic tasks."""
@@ -254,29 +254,29 @@
             self.ports[address] = listen(self.reactor, "listen", address, site)
         host, port = split_address(self.own.peer_address)
         self.ports[self.own.peer_address] = self.reactor.listenUDP(
-            port, self.beats, interface=host
+            port, self.heartbeats, interface=host
         )
         loop = get_event_loop()
         for number in (SIGTERM, SIGINT):
-            loop.add_signal_handler(number, self.stop.request)
+            loop.add_signal_handler(number, self.stop.begin)
         loop.add_signal_handler(SIGHUP, self.on_reload)
-        self.followed.start()
-        entry = OwnEntry(self.store, self.documents, self.own, self.random)
+        self.watched.start()
+        entry = OwnEntryWriter(self.store, self.documents, self.own, self.random)
         self.tasks.start(entry.write(self.tasks))
-        self.tasks.start(self.keeper.restore(self.tasks))
-        self.tasks.repeat(BEAT_PERIOD_S, self._beat)
-        self.tasks.repeat(WRITE_PERIOD_S, self.keeper.write)
-        self.tasks.repeat(SWEEP_PERIOD_S, self._sweep)
+        self.tasks.start(self.checkpoints.restore(self.tasks))
+        self.tasks.repeat(HEARTBEAT_PERIOD_S, self._send_heartbeat)
+        self.tasks.repeat(WRITE_PERIOD_S, self.checkpoints.write)
+        self.tasks.repeat(SWEEP_PERIOD_S, self._close_expired)
         self.tasks.repeat(RELOAD_PERIOD_S, self._reload)
         get_logger().info("node_started", incarnation=self.own.incarnation)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeat(self) -> None:
         self.regions.update()
-        self.beats.send()
+        self.heartbeats.send()
 
-    async def _sweep(self) -> None:
-        self.pool.sweep()
-        self.decisions.report_dropped()
+    async def _close_expired(self) -> None:
+        self.pool.close_expired()
+        self.request_log.report_dropped()
 
     async def _reload(self) -> None:
         self.on_reload()
@@ -291,15 +291,15 @@
         if settings == self.settings:
             return
         if settings.bounds != self.settings.bounds:
-            self.forwarder.windows.clear()
+            self.forwarder.retry_windows.clear()
         self.settings = settings
-        self.followed.forget_decoded()
+        self.watched.redecode_servers()
         get_logger().info("settings_reloaded")
 
     def announce_stop(self) -> None:
         """Announce to clients and other nodes that this node stops."""
         self.client_site.closing = True
-        self.beats.send_to_all()
+        self.heartbeats.send_to_all()
 
     def close_ports(self) -> None:
         """Stop accepting connections, and close the idle ones."""
@@ -307,8 +307,8 @@
             self.ports[address].stopListening()
         self.client_site.close_idle()
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         """Stop all tasks and the process."""
         self.tasks.stop()
-        self.followed.stop()
+        self.watched.stop()
         self.reactor.callLater(0, self.reactor.stop)
--- a/ebonybend/node/stop.py
+++ b/ebonybend/node/stop.py
@@ -11,7 +11,7 @@
 POLL_INTERVAL_S = 0.05
 # Fraction of the grace time in which new requests are still served, so that clients
 # with a cached directory answer meet no refused connection.
-SERVING_PART = 0.6
+SERVING_FRACTION = 0.6
 # Time before the end of the grace time at which remaining requests are aborted.
 END_MARGIN_S = 0.3
 
@@ -26,34 +26,34 @@
         announce: Callable[[], None],
         close_ports: Callable[[], None],
         running: Callable[[], int],
-        end: Callable[[], None],
+        shut_down: Callable[[], None],
     ):
         self.reactor = reactor
         self.grace_s = grace_s
         self.announce = announce
         self.close_ports = close_ports
         self.running = running
-        self.end = end
+        self.shut_down = shut_down
         self.stopping = False
 
-    def request(self) -> None:
+    def begin(self) -> None:
         """Start the stop; a second call exits at once."""
         if self.stopping:
             get_logger().warning("immediate_stop", running=self.running())
-            self.end()
+            self.shut_down()
             return
         self.stopping = True
         get_logger().info("stop_begins", running=self.running(), grace_s=self.grace_s)
         self.announce()
-        Deferred.fromCoroutine(self._run()).addErrback(self._failed)
+        Deferred.fromCoroutine(self._run()).addErrback(self._on_failure)
 
-    def _failed(self, failure: Any) -> None:
+    def _on_failure(self, failure: Any) -> None:
         get_logger().error("stop_failed", error=repr(failure.value))
-        self.end()
+        self.shut_down()
 
     async def _run(self) -> None:
         started = self.reactor.seconds()
-        await deferLater(self.reactor, self.grace_s * SERVING_PART)
+        await deferLater(self.reactor, self.grace_s * SERVING_FRACTION)
         self.close_ports()
         until = started + self.grace_s - END_MARGIN_S
         while self.running() and self.reactor.seconds() < until:
@@ -61,4 +61,4 @@
         # Time for the sockets to send the last answers.
         await deferLater(self.reactor, POLL_INTERVAL_S)
         get_logger().info("stopped", seconds=round(self.reactor.seconds() - started, 3))
-        self.end()
+        self.shut_down()
--- a/ebonybend/node/tests/beat_double.py
+++ b/ebonybend/node/tests/beat_double.py
@@ -2,12 +2,12 @@
 
 from attrs import evolve
 
-from ebonybend.node.members import Beat, Member
+from ebonybend.node.members import Member, NodeHeartbeat
 
 
-def beat(sender: Member, **changes) -> Beat:
+def heartbeat(sender: Member, **changes) -> NodeHeartbeat:
     """Return a heartbeat of a ready node with nothing to report."""
-    plain = Beat(
+    plain = NodeHeartbeat(
         name=sender.name,
         incarnation=1,
         count=1,
--- a/ebonybend/node/tests/test_backend_connection.py
+++ b/ebonybend/node/tests/test_backend_connection.py
@@ -5,15 +5,15 @@
 from twisted.python.failure import Failure
 
 from ebonybend.node.backend_connection import (
-    SILENT_AFTER_MS,
+    ACK_TIMEOUT_MS,
     AnswerNotReceived,
     BackendConnection,
-    Loss,
+    LossReason,
 )
 
 ID = b"Request-Id: a1\r\n"
 OK = b"HTTP/1.1 200 OK\r\n"
-WHOLE = OK + ID + b"Content-Length: 5\r\n\r\nwhole"
+COMPLETE = OK + ID + b"Content-Length: 5\r\n\r\nwhole"
 OTHER = OK + b"Request-Id: b2\r\nContent-Length: 5\r\n\r\nother"
 DONE = Failure(ConnectionDone())
 RESET = Failure(ConnectionLost())
@@ -23,10 +23,10 @@
     """A connection with one request in flight."""
 
     def __init__(self):
-        self.freed = []
+        self.idle = []
         self.now = 0.0
         self.connection = BackendConnection(
-            b"Request-Id", self.freed.append, lambda: self.now
+            b"Request-Id", self.idle.append, lambda: self.now
         )
         self.transport = StringTransport()
         self.transport.abortConnection = self.transport.loseConnection
@@ -44,8 +44,8 @@
     """Guards against returning a partial answer, or that of another request."""
 
     scenarios = [
-        ("whole", {"parts": [WHOLE], "body": b"whole", "kept": True}),
-        ("byte by byte", {"parts": list(WHOLE), "body": b"whole", "kept": True}),
+        ("whole", {"parts": [COMPLETE], "body": b"whole", "kept": True}),
+        ("byte by byte", {"parts": list(COMPLETE), "body": b"whole", "kept": True}),
         (
             "chunked",
             {
@@ -75,16 +75,16 @@
         ),
         (
             "a second answer follows",
-            {"parts": [WHOLE + OTHER], "body": b"whole", "kept": False},
+            {"parts": [COMPLETE + OTHER], "body": b"whole", "kept": False},
         ),
         (
             "a late answer goes before",
-            {"parts": [OTHER + WHOLE], "body": b"whole", "kept": False},
+            {"parts": [OTHER + COMPLETE], "body": b"whole", "kept": False},
         ),
         (
             "a late answer goes before in pieces",
             {
-                "parts": [OTHER[:30], OTHER[30:] + WHOLE[:9], WHOLE[9:]],
+                "parts": [OTHER[:30], OTHER[30:] + COMPLETE[:9], COMPLETE[9:]],
                 "body": b"whole",
                 "kept": False,
             },
@@ -95,14 +95,17 @@
         ),
         (
             "unframed and reset",
-            {"parts": [OK + ID + b"\r\nwhole", RESET], "loss": Loss.CLOSED},
+            {"parts": [OK + ID + b"\r\nwhole", RESET], "loss": LossReason.CLOSED},
+        ),
+        ("cut off", {"parts": [COMPLETE[:-1], DONE], "loss": LossReason.CLOSED}),
+        ("no answer", {"parts": [RESET], "loss": LossReason.CLOSED}),
+        (
+            "no HTTP",
+            {"parts": [b"\0\1\2 garbage\r\n\r\n"], "loss": LossReason.MALFORMED},
         ),
-        ("cut off", {"parts": [WHOLE[:-1], DONE], "loss": Loss.CLOSED}),
-        ("no answer", {"parts": [RESET], "loss": Loss.CLOSED}),
-        ("no HTTP", {"parts": [b"\0\1\2 garbage\r\n\r\n"], "loss": Loss.GARBLED}),
         (
             "only others' answers",
-            {"parts": [OTHER + OTHER + OTHER], "loss": Loss.GARBLED},
+            {"parts": [OTHER + OTHER + OTHER], "loss": LossReason.MALFORMED},
         ),
     ]
     parts = ()
@@ -125,7 +128,7 @@
             self.assertEqual(self.loss, result.value.loss)
         else:
             self.assertEqual(self.body, result.body)
-        self.assertEqual(self.kept, bool(exchange.freed))
+        self.assertEqual(self.kept, bool(exchange.idle))
         self.assertEqual(self.kept, exchange.connection.usable)
 
 
@@ -134,35 +137,35 @@
 
     def test_second_request_gets_its_own_answer(self):
         exchange = Exchange()
-        exchange.connection.dataReceived(WHOLE)
+        exchange.connection.dataReceived(COMPLETE)
         exchange.send(b"b2")
         exchange.connection.dataReceived(OTHER)
         self.assertEqual([b"whole", b"other"], [r.body for r in exchange.results])
 
-    def test_bytes_while_idle_end_the_connection(self):
+    def test_bytes_while_idle_close_the_connection(self):
         exchange = Exchange()
-        exchange.connection.dataReceived(WHOLE)
+        exchange.connection.dataReceived(COMPLETE)
         exchange.connection.dataReceived(b"H")
         self.assertFalse(exchange.connection.usable)
 
-    def test_cancelled_request_ends_the_connection(self):
+    def test_cancelled_request_closes_the_connection(self):
         exchange = Exchange()
         waiting = exchange.connection.waiting
         waiting.cancel()
         self.assertTrue(exchange.transport.disconnecting)
-        self.assertEqual(Loss.ABORTED, exchange.results[0].value.loss)
+        self.assertEqual(LossReason.ABORTED, exchange.results[0].value.loss)
 
 
-class SilenceTest(TestWithScenarios, TestCase):
+class UnacknowledgedTest(TestWithScenarios, TestCase):
     """Guards against requests that wait until the deadline for a dead server."""
 
     scenarios = [
-        ("nothing acknowledged", {"loss": Loss.SILENT}),
-        ("reset at once", {"after_s": 0.1, "loss": Loss.CLOSED}),
-        ("a part had arrived", {"received": OK, "loss": Loss.CLOSED}),
-        ("closed by the server", {"reason": DONE, "loss": Loss.CLOSED}),
+        ("nothing acknowledged", {"loss": LossReason.UNACKNOWLEDGED}),
+        ("reset at once", {"after_s": 0.1, "loss": LossReason.CLOSED}),
+        ("a part had arrived", {"received": OK, "loss": LossReason.CLOSED}),
+        ("closed by the server", {"reason": DONE, "loss": LossReason.CLOSED}),
     ]
-    after_s = SILENT_AFTER_MS / 1000
+    after_s = ACK_TIMEOUT_MS / 1000
     received = b""
     reason = RESET
 
--- a/ebonybend/node/tests/test_followed.py
+++ b/ebonybend/node/tests/test_followed.py
@@ -6,11 +6,11 @@
 from twisted.internet.task import Clock
 
 from ebonybend.codec import to_json
-from ebonybend.node.followed import FollowedState
+from ebonybend.node.followed import WatchedState
 from ebonybend.node.members import Member, Members
 from ebonybend.node.routing_state import RoutingState
 from ebonybend.node.settings import NodeSettings, SharedBounds
-from ebonybend.node.tests.beat_double import beat
+from ebonybend.node.tests.beat_double import heartbeat
 from ebonybend.platform.documents import PlatformDocuments
 from ebonybend.platform.tests.server_entry import server_entry
 from ebonybend.steering.server_state import ServerTable
@@ -34,7 +34,7 @@
 )
 
 
-class World:
+class WatchingNode:
     """A node without ports that watches a store."""
 
     def __init__(self):
@@ -45,7 +45,7 @@
         self.put("config", "main", {"Version": 1})
         self.put("servers", "s1", server_entry("10.3.0.1:80"))
         self.put("servers", "s2", server_entry("10.3.0.2:80"))
-        self.followed = FollowedState(
+        self.watched = WatchedState(
             self.client,
             PlatformDocuments(),
             self.clock,
@@ -57,7 +57,7 @@
             lambda: None,
             lambda servers: None,
         )
-        self.followed.start()
+        self.watched.start()
         self.run(1.0)
 
     def put(self, kind, name, spec, deleted=False):
@@ -69,18 +69,18 @@
         while self.clock.seconds() < end:
             self.clock.advance(0.01)
 
-    def cut(self, seconds):
+    def disconnect(self, seconds):
         """Disconnect the node from the store for a time; its open watches fail."""
         self.client.down = True
         self.run(seconds)
         self.client.down = False
 
-    def return_to_store(self):
-        while not self.followed.followed_s():
+    def wait_for_store(self):
+        while not self.watched.store_contact_s():
             self.run(0.01)
 
-    def beat(self, followed_s):
-        self.followed.compare(beat(OTHER, followed_s=followed_s))
+    def heartbeat(self, followed_s):
+        self.watched.apply_heartbeat(heartbeat(OTHER, followed_s=followed_s))
 
 
 class CountedDocuments(PlatformDocuments):
@@ -99,17 +99,17 @@
     """Guards against work for each change that grows with the number of servers."""
 
     def test_only_changed_entries_are_decoded(self):
-        world = World()
-        documents = world.followed.documents = CountedDocuments()
-        world.put("servers", "s2", server_entry("10.3.0.9:80"))
-        world.run(2.0)
+        node = WatchingNode()
+        documents = node.watched.documents = CountedDocuments()
+        node.put("servers", "s2", server_entry("10.3.0.9:80"))
+        node.run(2.0)
         self.assertEqual(1, documents.decoded)
-        self.assertEqual("10.3.0.9:80", world.servers.states["s2"].server.address)
+        self.assertEqual("10.3.0.9:80", node.servers.states["s2"].server.address)
 
     def test_changed_regions_apply_to_all_servers(self):
-        world = World()
-        documents = world.followed.documents = CountedDocuments()
-        world.followed.forget_decoded()
+        node = WatchingNode()
+        documents = node.watched.documents = CountedDocuments()
+        node.watched.redecode_servers()
         self.assertEqual(2, documents.decoded)
 
 
@@ -117,29 +117,29 @@
     """Guards against requests to a server removed while the node was disconnected."""
 
     scenarios = [
-        ("alone", {"told_s": None, "kept": True}),
-        ("another node followed all the while", {"told_s": 9.0, "kept": False}),
-        ("another node returned as late", {"told_s": 0.1, "kept": True}),
-        ("another node can't reach the store", {"told_s": 0.0, "kept": True}),
+        ("alone", {"contact_s": None, "kept": True}),
+        ("another node followed all the while", {"contact_s": 9.0, "kept": False}),
+        ("another node returned as late", {"contact_s": 0.1, "kept": True}),
+        ("another node can't reach the store", {"contact_s": 0.0, "kept": True}),
     ]
 
-    def test_return(self):
-        world = World()
-        world.client.down = True
-        world.put("servers", "s1", server_entry("10.3.0.1:80"), deleted=True)
-        world.cut(8.0)
-        world.return_to_store()
-        self.assertIn("s1", world.servers.states)
-        if self.told_s is not None:
-            world.beat(self.told_s)
-        self.assertEqual(self.kept, "s1" in world.servers.states)
-        world.run(SETTLE_S)
-        self.assertEqual(["s2"], list(world.servers.states))
-
-    def test_nothing_missing_is_used_once_the_node_counts_as_settled(self):
-        world = World()
-        world.client.down = True
-        world.put("servers", "s1", server_entry("10.3.0.1:80"), deleted=True)
-        world.cut(8.0)
-        world.run(SETTLE_S)
-        self.assertEqual(["s2"], list(world.servers.states))
+    def test_missing_server_after_recovery(self):
+        node = WatchingNode()
+        node.client.down = True
+        node.put("servers", "s1", server_entry("10.3.0.1:80"), deleted=True)
+        node.disconnect(8.0)
+        node.wait_for_store()
+        self.assertIn("s1", node.servers.states)
+        if self.contact_s is not None:
+            node.heartbeat(self.contact_s)
+        self.assertEqual(self.kept, "s1" in node.servers.states)
+        node.run(SETTLE_S)
+        self.assertEqual(["s2"], list(node.servers.states))
+
+    def test_no_missing_server_is_used_after_the_settle_time(self):
+        node = WatchingNode()
+        node.client.down = True
+        node.put("servers", "s1", server_entry("10.3.0.1:80"), deleted=True)
+        node.disconnect(8.0)
+        node.run(SETTLE_S)
+        self.assertEqual(["s2"], list(node.servers.states))
--- a/ebonybend/node/tests/test_forwarder.py
+++ b/ebonybend/node/tests/test_forwarder.py
@@ -9,8 +9,12 @@
 
 from ebonybend.clock import ManualClock
 from ebonybend.errors import ErrorKind, SteeringError
-from ebonybend.node.backend_connection import AnswerNotReceived, BackendAnswer, Loss
-from ebonybend.node.backend_pool import Unreachable
+from ebonybend.node.backend_connection import (
+    AnswerNotReceived,
+    BackendAnswer,
+    LossReason,
+)
+from ebonybend.node.backend_pool import BackendUnreachable
 from ebonybend.node.caller_requests import ClientRequest
 from ebonybend.node.forwarder import Forwarder
 from ebonybend.steering.crashes import CRASHES_TO_REFUSE, CrashDetector
@@ -36,14 +40,14 @@
 FAILED = BackendAnswer(500, Headers(), b"failed")
 FULL = BackendAnswer(503, Headers({"Not-Run": ["1"]}), b"")
 WRONG = BackendAnswer(421, Headers(), b"")
-CLOSED = AnswerNotReceived(Loss.CLOSED)
-REFUSED = Unreachable("refused", True)
+CLOSED = AnswerNotReceived(LossReason.CLOSED)
+REFUSED = BackendUnreachable("refused", True)
 
 
 class FixedRegion:
     """Assign every object to one region."""
 
-    def arrived(self, route, service):
+    def record_request(self, route, service):
         """Do nothing."""
 
     def region_of(self, service, object_key):
@@ -51,12 +55,12 @@
         return "a"
 
 
-class PlainWire:
+class PlainWireFormat:
     """The formats that these tests use."""
 
-    def server_headers(self, server, left_s):
+    def server_headers(self, server, remaining_s):
         """Return a header with the remaining time."""
-        return ((b"Left", str(round(left_s, 3)).encode()),)
+        return ((b"Left", str(round(remaining_s, 3)).encode()),)
 
     def states_not_run(self, status, headers):
         """Return whether an answer states that the request was not run."""
@@ -76,14 +80,14 @@
         # If set, the next connection is delayed until it fires.
         self.connecting = None
 
-    def take(self, server, single):
+    def acquire(self, server, non_idempotent):
         """Return no idle connection."""
 
     async def connect(self, server):
         """Return a connection, or raise the error that is next in the script."""
         if self.connecting is not None:
             await self.connecting
-        if self.script and isinstance(self.script[0], Unreachable):
+        if self.script and isinstance(self.script[0], BackendUnreachable):
             raise self.script.pop(0)
         return self
 
@@ -93,7 +97,9 @@
     def send(self, method, request_id, data):
         """Answer with the next entry of the script; wait if there is none."""
         self.sent.append(data)
-        self.waiting = Deferred(lambda d: d.errback(AnswerNotReceived(Loss.ABORTED)))
+        self.waiting = Deferred(
+            lambda d: d.errback(AnswerNotReceived(LossReason.ABORTED))
+        )
         if self.script:
             result = self.script.pop(0)
             if isinstance(result, Exception):
@@ -103,7 +109,7 @@
         return self.waiting
 
 
-class Bench:
+class ForwarderFixture:
     """A forwarder with three servers behind a scripted pool."""
 
     def __init__(self, script, slack=100.0, **route):
@@ -120,7 +126,7 @@
             self.pool,
             Placement(table, ServiceTimes()),
             FixedRegion(),
-            PlainWire(),
+            PlainWireFormat(),
             lambda: RetryWindow(0.0, slack, 10.0),
             lambda: 1,
             Random(1),
@@ -219,76 +225,76 @@
     slack = 100.0
 
     def test_forward(self):
-        bench = Bench(
+        fixture = ForwarderFixture(
             self.script,
             self.slack,
             idempotent=self.idempotent,
             max_sends=self.max_sends,
         )
-        bench.forward()
-        self.assertEqual(self.ends, bench.outcome())
-        self.assertEqual(self.sends, len(bench.pool.sent))
+        fixture.forward()
+        self.assertEqual(self.ends, fixture.outcome())
+        self.assertEqual(self.sends, len(fixture.pool.sent))
 
 
 class WaitingTest(TestCase):
     """Guards against work for clients that disconnected or whose deadline passed."""
 
-    def test_nothing_is_sent_again_once_the_caller_left(self):
-        bench = Bench([])
-        running = bench.forward()
-        bench.pool.script = [OK]
+    def test_no_retry_after_the_client_disconnected(self):
+        fixture = ForwarderFixture([])
+        running = fixture.forward()
+        fixture.pool.script = [OK]
         running.cancel()
-        self.assertEqual(CancelledError, bench.outcome())
-        self.assertEqual(1, len(bench.pool.sent))
+        self.assertEqual(CancelledError, fixture.outcome())
+        self.assertEqual(1, len(fixture.pool.sent))
 
-    def test_answered_when_the_time_is_over(self):
-        bench = Bench([])
-        bench.forward()
-        bench.clock.advance(1.0)
-        bench.clock.advance(0.0)
-        self.assertEqual(ErrorKind.DEADLINE_EXCEEDED, bench.outcome())
+    def test_deadline_exceeded_without_an_answer(self):
+        fixture = ForwarderFixture([])
+        fixture.forward()
+        fixture.clock.advance(1.0)
+        fixture.clock.advance(0.0)
+        self.assertEqual(ErrorKind.DEADLINE_EXCEEDED, fixture.outcome())
 
     def test_answer_that_arrived_while_the_process_was_paused(self):
-        bench = Bench([])
-        bench.forward()
+        fixture = ForwarderFixture([])
+        fixture.forward()
         # The loop runs its due timers before it reads the connection.
-        bench.clock.callLater(1.0, lambda: bench.pool.waiting.callback(OK))
-        bench.clock.advance(1.5)
-        self.assertEqual(200, bench.outcome())
-
-    def test_nothing_is_sent_that_can_t_be_answered(self):
-        bench = Bench([OK])
-        connecting = bench.pool.connecting = Deferred()
-        bench.forward()
-        bench.clock.advance(0.99)
+        fixture.clock.callLater(1.0, lambda: fixture.pool.waiting.callback(OK))
+        fixture.clock.advance(1.5)
+        self.assertEqual(200, fixture.outcome())
+
+    def test_no_send_too_late_for_an_answer(self):
+        fixture = ForwarderFixture([OK])
+        connecting = fixture.pool.connecting = Deferred()
+        fixture.forward()
+        fixture.clock.advance(0.99)
         connecting.callback(None)
-        self.assertEqual(ErrorKind.OVERLOADED, bench.outcome())
-        self.assertEqual([], bench.pool.sent)
-
-    def test_second_send_states_the_time_that_is_left(self):
-        bench = Bench([])
-        bench.forward()
-        bench.clock.advance(0.6)
-        bench.pool.script = [OK]
-        bench.pool.waiting.errback(CLOSED)
-        self.assertEqual(200, bench.outcome())
-        self.assertIn(b"Left: 0.4\r\n", bench.pool.sent[1])
-
-    def test_headers_of_one_connection_are_not_passed_on(self):
-        bench = Bench([OK])
-        bench.forward()
-        sent = bench.pool.sent[0]
+        self.assertEqual(ErrorKind.OVERLOADED, fixture.outcome())
+        self.assertEqual([], fixture.pool.sent)
+
+    def test_second_send_states_the_remaining_time(self):
+        fixture = ForwarderFixture([])
+        fixture.forward()
+        fixture.clock.advance(0.6)
+        fixture.pool.script = [OK]
+        fixture.pool.waiting.errback(CLOSED)
+        self.assertEqual(200, fixture.outcome())
+        self.assertIn(b"Left: 0.4\r\n", fixture.pool.sent[1])
+
+    def test_hop_by_hop_headers_are_not_forwarded(self):
+        fixture = ForwarderFixture([OK])
+        fixture.forward()
+        sent = fixture.pool.sent[0]
         self.assertNotIn(b"Connection", sent)
         self.assertTrue(sent.startswith(b"POST /x?y=1 HTTP/1.1\r\n"))
         self.assertTrue(sent.endswith(b"Content-Length: 4\r\n\r\nbody"))
 
     def test_request_that_crashes_servers_is_refused(self):
-        bench = Bench([CLOSED] * CRASHES_TO_REFUSE, max_sends=1)
+        fixture = ForwarderFixture([CLOSED] * CRASHES_TO_REFUSE, max_sends=1)
         for _ in range(CRASHES_TO_REFUSE):
-            bench.forward()
-            for name in bench.forwarder.placement.table.states:
-                bench.crashes.record_refused_connection(name)
-            bench.crashes.clock.advance(2.0)
-        bench.results.clear()
-        bench.forward()
-        self.assertEqual(ErrorKind.SUSPECT_REFUSED, bench.outcome())
+            fixture.forward()
+            for name in fixture.forwarder.placement.table.states:
+                fixture.crashes.record_refused_connection(name)
+            fixture.crashes.clock.advance(2.0)
+        fixture.results.clear()
+        fixture.forward()
+        self.assertEqual(ErrorKind.SUSPECT_REFUSED, fixture.outcome())
--- a/ebonybend/node/tests/test_kept_state.py
+++ b/ebonybend/node/tests/test_kept_state.py
@@ -7,9 +7,9 @@
 
 from ebonybend.codec import to_json
 from ebonybend.node.demand import RegionSteering
-from ebonybend.node.kept_state import MOST_AGE_S, StateKeeper
+from ebonybend.node.kept_state import MAX_AGE_S, CheckpointManager
 from ebonybend.node.members import Member, Members
-from ebonybend.node.tests.beat_double import beat
+from ebonybend.node.tests.beat_double import heartbeat
 from ebonybend.platform.documents import PlatformDocuments
 from ebonybend.steering.server_state import ServerTable
 from ebonybend.steering.service_times import ServiceTimes
@@ -23,15 +23,15 @@
 SECOND = evolve(FIRST, name="n2", peer_address="10.1.0.2:81")
 ROUTE = Route("r", "h", "/", True, (RoutePart("s", 1.0),), 1, 1.0, 0.3, 1)
 WALL_S = 1_000_000.0
-SHIFT_MOST = 0.15
+MAX_SHIFT = 0.15
 
 
 class ObjectDocuments(PlatformDocuments):
     """Encode values in the form in which the platform's store returns them."""
 
-    def encode_kept(self, state):
+    def encode_checkpoint(self, checkpoint):
         """Return a complete object."""
-        return to_json({"Metadata": {"Name": "k"}, "Spec": state})
+        return to_json({"Metadata": {"Name": "k"}, "Spec": checkpoint})
 
 
 class Node:
@@ -51,14 +51,14 @@
         self.regions = RegionSteering(
             "k",
             lambda: ("k", "m"),
-            lambda: SHIFT_MOST,
+            lambda: MAX_SHIFT,
             table,
             self.times,
             self.members,
             self.clock.seconds,
         )
         self.client = StoreClient(store)
-        self.keeper = StateKeeper(
+        self.checkpoints = CheckpointManager(
             self.client,
             ObjectDocuments(),
             self.regions,
@@ -70,13 +70,13 @@
         )
 
     def restore(self):
-        result_of(self.clock, self.keeper.restore(Tasks(self.clock)))
+        result_of(self.clock, self.checkpoints.restore(Tasks(self.clock)))
 
     def share(self):
         return round(self.regions.shares["s"].shares.get("k", 0.0), 3)
 
 
-class KeptStateTest(TestWithScenarios, TestCase):
+class RegionCheckpointTest(TestWithScenarios, TestCase):
     """Guards against cold objects after all nodes of a region restart at once.
 
     The region had assigned most of its objects to another region, and restarts under
@@ -86,23 +86,23 @@
     scenarios = [
         ("a second later", {"wall_s": WALL_S + 1, "share": 0.2}),
         ("the clock stepped back", {"wall_s": WALL_S - 4, "share": 0.2}),
-        ("an hour later", {"wall_s": WALL_S + 60 * MOST_AGE_S, "share": 0.5}),
+        ("an hour later", {"wall_s": WALL_S + 60 * MAX_AGE_S, "share": 0.5}),
     ]
 
     def test_shares_after_a_restart(self):
         store = MemoryStore(Clock())
-        before = Node(store)
-        before.restore()
-        before.regions.restore({"s": {"k": 0.2, "m": 0.8}})
-        result_of(store.clock, before.keeper.write())
-        after = Node(store, wall_s=self.wall_s)
-        after.restore()
-        after.regions.update()
-        self.assertEqual(self.share, after.share())
-        after.regions.arrived(ROUTE, "s")
+        old_node = Node(store)
+        old_node.restore()
+        old_node.regions.restore({"s": {"k": 0.2, "m": 0.8}})
+        result_of(store.clock, old_node.checkpoints.write())
+        new_node = Node(store, wall_s=self.wall_s)
+        new_node.restore()
+        new_node.regions.update()
+        self.assertEqual(self.share, new_node.share())
+        new_node.regions.record_request(ROUTE, "s")
         store.clock.advance(0.7)
-        after.regions.update()
-        self.assertLess(abs(after.share() - self.share), SHIFT_MOST)
+        new_node.regions.update()
+        self.assertLess(abs(new_node.share() - self.share), MAX_SHIFT)
 
 
 class WriterTest(TestWithScenarios, TestCase):
@@ -123,16 +123,16 @@
         store = MemoryStore(Clock())
         node = Node(store, self.own)
         other = FIRST if self.own is SECOND else SECOND
-        node.members.take_beat(
-            beat(other),
+        node.members.record_heartbeat(
+            heartbeat(other),
             0.0,
         )
         if self.read:
             node.restore()
         node.regions.update()
         node.client.lose_answers = self.lost
-        result_of(store.clock, node.keeper.write())
+        result_of(store.clock, node.checkpoints.write())
         if self.again:
             for _ in range(2):
-                result_of(store.clock, node.keeper.write())
+                result_of(store.clock, node.checkpoints.write())
         self.assertEqual(self.writes, len(store.writes))
--- a/ebonybend/node/tests/test_lag.py
+++ b/ebonybend/node/tests/test_lag.py
@@ -1,27 +1,33 @@
 from testscenarios import TestWithScenarios
 from testtools import TestCase
 
-from ebonybend.node.lag import PATIENCE_S, PAUSE_S, LagDetector
+from ebonybend.node.lag import LAG_TOLERANCE_S, RELIST_INTERVAL_S, LagDetector
 
 
 class LagDetectorTest(TestWithScenarios, TestCase):
     """Guards against a node that serves stale state because its watch is dead."""
 
     scenarios = [
-        ("same version", {"beats": [(0, 5, 5), (1, 5, 5)], "found": []}),
-        ("just now", {"beats": [(0, 5, 7), (0.1, 5, 7)], "found": []}),
-        ("lasting", {"beats": [(0, 5, 7), (PATIENCE_S, 5, 7)], "found": [PATIENCE_S]}),
-        ("caught up", {"beats": [(0, 5, 7), (0.2, 7, 7), (1, 7, 8)], "found": []}),
+        ("same version", {"heartbeats": [(0, 5, 5), (1, 5, 5)], "found": []}),
+        ("just now", {"heartbeats": [(0, 5, 7), (0.1, 5, 7)], "found": []}),
+        (
+            "lasting",
+            {
+                "heartbeats": [(0, 5, 7), (LAG_TOLERANCE_S, 5, 7)],
+                "found": [LAG_TOLERANCE_S],
+            },
+        ),
+        ("caught up", {"heartbeats": [(0, 5, 7), (0.2, 7, 7), (1, 7, 8)], "found": []}),
         (
             "not again at once",
             {
-                "beats": [
+                "heartbeats": [
                     (0, 5, 7),
                     (1, 5, 7),
                     (1.5, 5, 7),
-                    (1 + PAUSE_S, 5, 7),
+                    (1 + RELIST_INTERVAL_S, 5, 7),
                 ],
-                "found": [1, 1 + PAUSE_S],
+                "found": [1, 1 + RELIST_INTERVAL_S],
             },
         ),
     ]
@@ -30,7 +36,7 @@
         detector = LagDetector()
         found = [
             now
-            for now, own, told in self.beats
-            if detector.is_behind("servers", own, told, now)
+            for now, own, reported in self.heartbeats
+            if detector.should_relist("servers", own, reported, now)
         ]
         self.assertEqual(self.found, found)
--- a/ebonybend/node/tests/test_members.py
+++ b/ebonybend/node/tests/test_members.py
@@ -3,20 +3,20 @@
 
 from ebonybend.codec import pack
 from ebonybend.node.members import (
-    BEAT_PERIOD_S,
     DATAGRAM_LIFETIME_S,
-    MOST_FAR,
-    MOST_NEAR,
-    SILENT_AFTER_S,
+    HEARTBEAT_PERIOD_S,
+    LIVENESS_TIMEOUT_S,
+    MAX_LOCAL_RECIPIENTS,
+    MAX_REMOTE_RECIPIENTS,
     Member,
     Members,
 )
-from ebonybend.node.tests.beat_double import beat
+from ebonybend.node.tests.beat_double import heartbeat
 
 # Budget for a node's control traffic in the two-year target, in bytes per second.
 CONTROL_BYTES_PER_S = 11_000
 # Longest time for which a dead node may be listed, the strictest of all sites.
-NAMED_S = 6.0
+MAX_LISTED_S = 6.0
 
 
 def member(number, regions):
@@ -30,7 +30,7 @@
     return found
 
 
-class TurnsTest(TestWithScenarios, TestCase):
+class RoundRobinTest(TestWithScenarios, TestCase):
     """Guards against heartbeat traffic that grows with the square of the node count."""
 
     scenarios = [
@@ -40,64 +40,66 @@
         ("in two years", {"count": 520, "regions": 10}),
     ]
 
-    def test_beats_of_one_period_are_bounded(self):
-        near, far = members(self.count, self.regions).recipients()
-        names = {each.name for each in near + far}
-        self.assertEqual(len(near) + len(far), len(names))
-        self.assertLessEqual(len(near), MOST_NEAR)
-        self.assertLessEqual(len(far), MOST_FAR)
+    def test_recipients_of_one_period_are_bounded(self):
+        local, remote = members(self.count, self.regions).recipients()
+        names = {each.name for each in local + remote}
+        self.assertEqual(len(local) + len(remote), len(names))
+        self.assertLessEqual(len(local), MAX_LOCAL_RECIPIENTS)
+        self.assertLessEqual(len(remote), MAX_REMOTE_RECIPIENTS)
 
     def test_control_traffic_stays_in_its_budget(self):
         kinds = ("config", "servers", "evacuations", "ebonybend-nodes")
         found = members(self.count, self.regions)
-        sent = beat(
+        sent = heartbeat(
             found.own,
             demand={f"service-{i}": 12_345 for i in range(4)},
             newest=dict.fromkeys(kinds, 123_456),
         )
-        near, far = found.recipients()
-        per_s = len(pack(sent)) * len(near + far) / BEAT_PERIOD_S
+        local, remote = found.recipients()
+        per_s = len(pack(sent)) * len(local + remote) / HEARTBEAT_PERIOD_S
         self.assertLess(per_s, CONTROL_BYTES_PER_S)
 
-    def test_every_node_is_heard_before_it_counts_as_silent(self):
+    def test_every_node_is_reached_within_the_liveness_timeout(self):
         found = members(self.count, self.regions)
-        for number, group in enumerate(found.by_distance()):
-            after_s = found.silent_after_s(group[0].region)
-            told = set()
-            for _ in range(int((after_s - SILENT_AFTER_S) / BEAT_PERIOD_S + 1.01)):
-                told |= {each.name for each in found.recipients()[number]}
-            self.assertEqual(set(), {m.name for m in group} - told)
-
-    def test_dead_node_of_the_region_is_not_named_for_long(self):
+        for number, group in enumerate(found.local_and_remote_peers()):
+            timeout_s = found.liveness_timeout_s(group[0].region)
+            reached = set()
+            for _ in range(
+                int((timeout_s - LIVENESS_TIMEOUT_S) / HEARTBEAT_PERIOD_S + 1.01)
+            ):
+                reached |= {each.name for each in found.recipients()[number]}
+            self.assertEqual(set(), {m.name for m in group} - reached)
+
+    def test_dead_node_of_the_region_is_soon_unlisted(self):
         found = members(self.count, self.regions)
-        self.assertLessEqual(found.silent_after_s(found.own.region), NAMED_S)
+        self.assertLessEqual(found.liveness_timeout_s(found.own.region), MAX_LISTED_S)
 
 
 class AliveTest(TestCase):
     """Guards against clients that are directed to dead nodes."""
 
-    def test_node_that_falls_silent(self):
+    def test_node_that_stops_sending(self):
         found = members(7, 3)
         other = member(3, 3)
-        found.take_beat(beat(other), 10.0)
-        self.assertIn(other, found.usable(10.0 + SILENT_AFTER_S, True))
-        self.assertNotIn(other, found.usable(10.1 + SILENT_AFTER_S, True))
+        found.record_heartbeat(heartbeat(other), 10.0)
+        self.assertIn(other, found.ready_members(10.0 + LIVENESS_TIMEOUT_S, True))
+        self.assertNotIn(other, found.ready_members(10.1 + LIVENESS_TIMEOUT_S, True))
 
     def test_node_that_is_not_ready(self):
         found = members(7, 3)
-        found.take_beat(beat(member(3, 3), ready=False), 10.0)
-        self.assertEqual([found.own], found.usable(10.0, True))
+        found.record_heartbeat(heartbeat(member(3, 3), ready=False), 10.0)
+        self.assertEqual([found.own], found.ready_members(10.0, True))
 
     def test_old_datagram_is_ignored(self):
         found = members(7, 3)
-        self.assertTrue(found.take_beat(beat(member(3, 3), count=2), 10.0))
-        self.assertFalse(found.take_beat(beat(member(3, 3), count=1), 11.0))
+        self.assertTrue(found.record_heartbeat(heartbeat(member(3, 3), count=2), 10.0))
+        self.assertFalse(found.record_heartbeat(heartbeat(member(3, 3), count=1), 11.0))
 
     def test_restart_after_the_clock_was_set_back(self):
         found = members(7, 3)
         other = member(3, 3)
-        found.take_beat(beat(other, incarnation=9000, count=5), 10.0)
-        late = beat(other, incarnation=5000, count=1)
-        self.assertFalse(found.take_beat(late, 10.0 + DATAGRAM_LIFETIME_S))
-        self.assertTrue(found.take_beat(late, 10.1 + DATAGRAM_LIFETIME_S))
-        self.assertIn(other, found.usable(12.0, True))
+        found.record_heartbeat(heartbeat(other, incarnation=9000, count=5), 10.0)
+        late = heartbeat(other, incarnation=5000, count=1)
+        self.assertFalse(found.record_heartbeat(late, 10.0 + DATAGRAM_LIFETIME_S))
+        self.assertTrue(found.record_heartbeat(late, 10.1 + DATAGRAM_LIFETIME_S))
+        self.assertIn(other, found.ready_members(12.0, True))
--- a/ebonybend/node/wire.py
+++ b/ebonybend/node/wire.py
@@ -33,7 +33,7 @@
 
 
 @frozen
-class KeptState:
+class RegionCheckpoint:
     """The state that the nodes of a region need after all of them restarted."""
 
     # Unix time of the write in milliseconds.
@@ -45,7 +45,7 @@
     times: dict[str, RouteTimes]
 
 
-class Wire(Protocol):
+class WireFormat(Protocol):
     """The formats of calls between clients, nodes and servers."""
 
     request_id_header: bytes
@@ -57,7 +57,7 @@
         ...
 
     def server_headers(
-        self, server: str, left_s: float
+        self, server: str, remaining_s: float
     ) -> tuple[tuple[bytes, bytes], ...]:
         """Return the headers that are added to a request to a server."""
         ...
@@ -92,7 +92,7 @@
     evacuations_kind: str
     members_kind: str
     # Checkpoints: one object for each region, which isn't watched.
-    kept_kind: str
+    checkpoint_kind: str
 
     def decode_config(self, stored: StoredObject) -> RoutingConfig | None:
         """Return the routing configuration, or None if it can't be decoded."""
@@ -112,10 +112,10 @@
         """Return the encoded entry of a node."""
         ...
 
-    def decode_kept(self, stored: StoredObject) -> KeptState | None:
+    def decode_checkpoint(self, stored: StoredObject) -> RegionCheckpoint | None:
         """Return a region's checkpoint, or None if it can't be decoded."""
         ...
 
-    def encode_kept(self, state: KeptState) -> bytes:
+    def encode_checkpoint(self, checkpoint: RegionCheckpoint) -> bytes:
         """Return an encoded checkpoint."""
         ...
--- a/ebonybend/platform/__main__.py
+++ b/ebonybend/platform/__main__.py
@@ -27,7 +27,7 @@
 
         from ebonybend.http_client import HttpClient
         from ebonybend.node.service import NodeService
-        from ebonybend.platform.calls import PlatformWire
+        from ebonybend.platform.calls import PlatformWireFormat
         from ebonybend.platform.documents import PlatformDocuments
         from ebonybend.platform.store import PlatformStore
 
@@ -36,7 +36,7 @@
             reactor,
             settings,
             PlatformStore(http, settings.store_address),
-            PlatformWire(),
+            PlatformWireFormat(),
             PlatformDocuments(),
             int(os.environ.get(METRICS_PORT_VARIABLE, METRICS_PORT)),
             lambda: read_settings(path),
--- a/ebonybend/platform/calls.py
+++ b/ebonybend/platform/calls.py
@@ -25,7 +25,7 @@
 MS_PER_S = 1000.0
 
 
-class PlatformWire:
+class PlatformWireFormat:
     """The platform's formats of calls between clients, nodes and servers."""
 
     request_id_header = REQUEST_ID
@@ -48,11 +48,11 @@
         )
 
     def server_headers(
-        self, server: str, left_s: float
+        self, server: str, remaining_s: float
     ) -> tuple[tuple[bytes, bytes], ...]:
         """Return the headers that are added to a request to a server."""
-        left_ms = max(int(left_s * MS_PER_S), 1)
-        return ((DEADLINE, b"%d" % left_ms), (EXPECTED_SERVER, server.encode()))
+        remaining_ms = max(int(remaining_s * MS_PER_S), 1)
+        return ((DEADLINE, b"%d" % remaining_ms), (EXPECTED_SERVER, server.encode()))
 
     def states_not_run(self, status: int, headers: Headers) -> bool:
         """Return whether an answer states that the server didn't run the request."""
--- a/ebonybend/platform/documents.py
+++ b/ebonybend/platform/documents.py
@@ -5,7 +5,7 @@
 from ebonybend.codec import from_json, to_json
 from ebonybend.errors import SteeringError
 from ebonybend.node.members import Member
-from ebonybend.node.wire import KeptState
+from ebonybend.node.wire import RegionCheckpoint
 from ebonybend.store.client import StoredObject
 from ebonybend.world import BackendServer, LifeState
 from ebonybend.world.route import (
@@ -23,7 +23,7 @@
 # A kind that this project defines: one object for each node.
 MEMBERS_KIND = "ebonybend-nodes"
 # A kind that this project defines: one checkpoint for each region.
-KEPT_KIND = "ebonybend-kept"
+CHECKPOINT_KIND = "ebonybend-kept"
 
 MS_PER_S = 1000.0
 SAFE = "safe"
@@ -123,8 +123,8 @@
 
 
 @frozen
-class _KeptObject:
-    Spec: KeptState
+class _CheckpointObject:
+    Spec: RegionCheckpoint
 
 
 def _route(host: str, path: _Path) -> Route:
@@ -152,7 +152,7 @@
     servers_kind = SERVERS_KIND
     evacuations_kind = EVACUATIONS_KIND
     members_kind = MEMBERS_KIND
-    kept_kind = KEPT_KIND
+    checkpoint_kind = CHECKPOINT_KIND
 
     def decode_config(self, stored: StoredObject) -> RoutingConfig | None:
         """Return the routing configuration, or None if it can't be decoded."""
@@ -215,13 +215,13 @@
         """Return the encoded entry of a node."""
         return to_json(member)
 
-    def decode_kept(self, stored: StoredObject) -> KeptState | None:
+    def decode_checkpoint(self, stored: StoredObject) -> RegionCheckpoint | None:
         """Return a region's checkpoint, or None if it can't be decoded."""
         try:
-            return from_json(bytes(stored.value), _KeptObject).Spec
+            return from_json(bytes(stored.value), _CheckpointObject).Spec
         except SteeringError:
             return None
 
-    def encode_kept(self, state: KeptState) -> bytes:
+    def encode_checkpoint(self, checkpoint: RegionCheckpoint) -> bytes:
         """Return an encoded checkpoint."""
-        return to_json(state)
+        return to_json(checkpoint)
--- a/ebonybend/platform/store.py
+++ b/ebonybend/platform/store.py
@@ -22,7 +22,7 @@
 )
 
 # Limit on the pages of one list; the store puts about 500 objects on a page.
-MOST_PAGES = 10_000
+MAX_PAGES = 10_000
 # Statuses that state that the call was not carried out.
 REFUSALS = frozenset({429, 503})
 
@@ -82,9 +82,9 @@
         items: list[StoredObject] = []
         revision: int | None = None
         path = f"/objects/{quote(kind, safe='')}"
-        after = ""
-        for _ in range(MOST_PAGES):
-            answer = await self._call("GET", path + after)
+        cursor = ""
+        for _ in range(MAX_PAGES):
+            answer = await self._call("GET", path + cursor)
             page = answer.bind(lambda body: decode_answer(body, _Page))
             if not isinstance(page, Success):
                 return Failure(page.failure())
@@ -92,17 +92,17 @@
             # The first page's revision: the next watch reads changes between two pages.
             if revision is None:
                 revision = found.StoreRevision
-            items += [stored for raw in found.items if (stored := _stored(raw))]
+            items += [stored for raw in found.items if (stored := _decode_object(raw))]
             if not found.HasMore or not items:
                 return Success(ObjectList(revision, tuple(items)))
-            after = f"?after={quote(items[-1].name, safe='')}"
-        message = f"list of {kind!r} has more than {MOST_PAGES} pages"
+            cursor = f"?after={quote(items[-1].name, safe='')}"
+        message = f"list of {kind!r} has more than {MAX_PAGES} pages"
         return Failure(StoreFailure(StoreFailureKind.REJECTED, message))
 
     async def get(self, kind: str, name: str) -> Result[StoredObject, StoreFailure]:
         """Return one object."""
         answer = await self._call("GET", _path(kind, name))
-        return answer.bind(_decode_stored)
+        return answer.bind(_decode_body)
 
     async def put(
         self, kind: str, name: str, value: bytes, version: int
@@ -121,7 +121,7 @@
                 version,
             )
         answer = await self._call(method, path, head + value + b"}")
-        return answer.bind(_decode_stored).map(lambda stored: stored.version)
+        return answer.bind(_decode_body).map(lambda stored: stored.version)
 
     async def delete(
         self, kind: str, name: str, version: int
@@ -154,7 +154,7 @@
     if answer.status == 404:
         return StoreFailure(StoreFailureKind.NOT_FOUND, message)
     if answer.status == 409:
-        current = _decode_stored(answer.body).value_or(None)
+        current = _decode_body(answer.body).value_or(None)
         return StoreFailure(StoreFailureKind.CONFLICT, message, current)
     if answer.status in REFUSALS:
         return StoreFailure(StoreFailureKind.UNAVAILABLE, message)
@@ -168,7 +168,7 @@
     return f"/objects/{quote(kind, safe='')}/{quote(name, safe='')}"
 
 
-def _stored(raw: Raw, deleted: bool = False) -> StoredObject | None:
+def _decode_object(raw: Raw, deleted: bool = False) -> StoredObject | None:
     """Return an object, or None if its name or revision can't be decoded."""
     try:
         metadata = from_json(bytes(raw), _Head).Metadata
@@ -177,8 +177,8 @@
     return StoredObject(metadata.Name, metadata.Rev, raw, deleted)
 
 
-def _decode_stored(body: bytes) -> Result[StoredObject, StoreFailure]:
-    stored = _stored(Raw(body))
+def _decode_body(body: bytes) -> Result[StoredObject, StoreFailure]:
+    stored = _decode_object(Raw(body))
     if stored is None:
         message = "the store's answer is no object"
         return Failure(StoreFailure(StoreFailureKind.ANSWER_LOST, message))
@@ -190,6 +190,6 @@
     if not isinstance(decoded, Success):
         return decoded
     changes = decoded.unwrap()
-    found = (_stored(event.Object, event.Deleted) for event in changes.events)
+    found = (_decode_object(event.Object, event.Deleted) for event in changes.events)
     items = tuple(stored for stored in found if stored is not None)
     return Success(ObjectList(changes.StoreRevision, items))
--- a/ebonybend/platform/tests/test_formats.py
+++ b/ebonybend/platform/tests/test_formats.py
@@ -10,7 +10,7 @@
 from ebonybend.errors import ErrorKind, SteeringError
 from ebonybend.node.members import Member
 from ebonybend.node.wire import ClientHeaders, ServerLoad
-from ebonybend.platform.calls import PlatformWire
+from ebonybend.platform.calls import PlatformWireFormat
 from ebonybend.platform.documents import PlatformDocuments
 from ebonybend.platform.settings import decode_bounds, read_settings
 from ebonybend.store.client import StoredObject
@@ -127,22 +127,22 @@
             "whole",
             {
                 "raw": {"Attempt-Id": "a", "Deadline-Ms": "1200", "Affinity-Key": "17"},
-                "told": ClientHeaders(b"a", 1.2, b"17"),
+                "expected": ClientHeaders(b"a", 1.2, b"17"),
             },
         ),
-        ("no deadline", {"raw": {"Attempt-Id": "a"}, "told": (b"a", None, b"")}),
-        ("no id", {"raw": {"Deadline-Ms": "5"}, "told": None}),
+        ("no deadline", {"raw": {"Attempt-Id": "a"}, "expected": (b"a", None, b"")}),
+        ("no id", {"raw": {"Deadline-Ms": "5"}, "expected": None}),
         ("bad deadline", {"raw": {"Attempt-Id": "a", "Deadline-Ms": "x"}}),
     ]
-    told = None
+    expected = None
 
     def test_read(self):
         headers = Headers({name: [value] for name, value in self.raw.items()})
-        told = PlatformWire().read_client_headers(headers)
-        expected = self.told
+        decoded = PlatformWireFormat().read_client_headers(headers)
+        expected = self.expected
         if isinstance(expected, tuple):
             expected = ClientHeaders(*expected)
-        self.assertEqual(expected, told)
+        self.assertEqual(expected, decoded)
 
 
 class LoadTest(TestWithScenarios, TestCase):
@@ -156,7 +156,7 @@
 
     def test_read(self):
         headers = Headers({"Server-Load": [self.text]})
-        self.assertEqual(self.load, PlatformWire().read_load(headers))
+        self.assertEqual(self.load, PlatformWireFormat().read_load(headers))
 
 
 class NotRunTest(TestWithScenarios, TestCase):
@@ -170,7 +170,7 @@
     ]
 
     def test_states_not_run(self):
-        found = PlatformWire().states_not_run(self.status, Headers(self.raw))
+        found = PlatformWireFormat().states_not_run(self.status, Headers(self.raw))
         self.assertEqual(self.not_run, found)
 
 
