--- a/ebonybend/node/backend_connection.py
+++ b/ebonybend/node/backend_connection.py
@@ -17,7 +17,7 @@
 # Late answers to earlier requests that are skipped before the connection is closed.
 MAX_SKIPPED_ANSWERS = 2
 # A request is lost if the server's kernel doesn't acknowledge it within this time: long
-# enough for three transmissions on the slowest link, and below most client deadlines.
+# enough for three transmissions on the longest path, and below most client deadlines.
 ACK_TIMEOUT_MS = 1000
 # Fraction of that time from which on a lost connection counts as unacknowledged; a
 # reset arrives sooner.
--- a/ebonybend/node/backend_pool.py
+++ b/ebonybend/node/backend_pool.py
@@ -22,13 +22,12 @@
 # Fraction of a stated idle timeout for which a connection is reused; the rest covers
 # the latency to the server.
 IDLE_TIMEOUT_FRACTION = 0.6
-# The same for a request that isn't idempotent, since it can't be retried when the
+# Longest idle time for a request that isn't idempotent, which can't be retried if the
 # server closes the connection.
 MAX_IDLE_NON_IDEMPOTENT_S = 2.0
 # Several round trips between regions.
 CONNECT_TIMEOUT_S = 0.6
 
-
 # Name, address and start time; a server may restart under its name, also at another
 # address.
 ProcessKey = tuple[str, str, int]
@@ -75,7 +74,7 @@
         return None
 
     async def connect(self, server: BackendServer) -> BackendConnection:
-        """Open a connection; raise Unreachable on failure."""
+        """Open a connection; raise BackendUnreachable on failure."""
         host, _, port = server.address.rpartition(":")
         endpoint = TCP4ClientEndpoint(self.reactor, host, int(port), CONNECT_TIMEOUT_S)
         factory = Factory.forProtocol(BackendConnection)
--- a/ebonybend/node/callers.py
+++ b/ebonybend/node/callers.py
@@ -20,7 +20,7 @@
 DEFAULT_DEADLINE_S = 10.0
 # Retry delay sent while the node starts; it usually has read the store by then.
 NOT_READY_RETRY_MS = 300
-# A status that allows a retry, because an innocent request may match a suspect.
+# A status that allows a retry, because a harmless request may match a suspect one.
 SUSPECT_STATUS = 503
 # Answer headers that the node's own HTTP server writes.
 NODE_HEADERS = CONNECTION_HEADERS | {b"date", b"server"}
--- a/ebonybend/node/demand.py
+++ b/ebonybend/node/demand.py
@@ -42,7 +42,7 @@
         self.clock = clock
         self.demand_meters: dict[str, DemandMeter] = {}
         self.shares: dict[str, RegionShares] = {}
-        # Detector of lost slots in the own region by service.
+        # Detects lost slots in the own region, by service.
         self.slot_loss_detectors: dict[str, SlotLossDetector] = {}
         # Traffic shares from before the restart, in use until requests arrive.
         self.restored_shares: dict[str, dict[str, float]] = {}
@@ -91,8 +91,8 @@
         for service in active_services:
             self.restored_shares.pop(service, None)
         for service in self.table.by_service:
-            # Objects are warm by the restored shares, so these change as slowly as
-            # those of a service in use.
+            # Objects are warm where the restored shares assign them, so these shares
+            # change as slowly as those of a service in use.
             in_use = service in active_services or service in self.restored_shares
             self._update_service(service, demands.get(service, {}), in_use, now)
 
--- a/ebonybend/node/followed.py
+++ b/ebonybend/node/followed.py
@@ -18,7 +18,7 @@
 
 # Added to the retention time of expired servers before the list is evaluated again.
 EXPIRY_MARGIN_S = 0.05
-# Index of the watch on servers.
+# Index of the servers' watcher.
 SERVERS_INDEX = 1
 # Changes within this time of one another are read in one call.
 BATCH_DELAY_S = 0.4
@@ -60,8 +60,8 @@
         self.settings = settings
         self.on_routing = on_routing
         self.on_server_list = on_server_list
-        self.expired = ExpiredServers()
-        self.lag = LagDetector()
+        self.expired_servers = ExpiredServers()
+        self.lag_detector = LagDetector()
         # Version of each server's entry, and the decoded server.
         self.decoded_servers: dict[str, tuple[int, BackendServer | None]] = {}
         self.watchers = [
@@ -127,20 +127,22 @@
         return 0.0 if since is None else self.reactor.seconds() - since
 
     def apply_heartbeat(self, heartbeat: NodeHeartbeat) -> None:
-        """Compare the own state of the store with that of a heartbeat.
+        """Compare the versions known here with those in a heartbeat.
 
-        Lists a kind again if the own version stays older than the reported one. Drops
+        Lists a kind again if the version here stays older than the reported one. Drops
         expired servers early if the other node's contact with the store shows that
         they were removed.
         """
         now = self.reactor.seconds()
-        if heartbeat.followed_s and self.expired.remaining_s(now):
-            self.expired.record_store_available_since(now - heartbeat.followed_s)
-            if not self.expired.remaining_s(now):
+        if heartbeat.followed_s and self.expired_servers.remaining_s(now):
+            self.expired_servers.record_store_available_since(
+                now - heartbeat.followed_s
+            )
+            if not self.expired_servers.remaining_s(now):
                 self.reapply_servers()
         for watcher in self.watchers:
             reported = heartbeat.newest.get(watcher.kind, 0)
-            if self.lag.should_relist(
+            if self.lag_detector.should_relist(
                 watcher.kind, watcher.newest_version, reported, now
             ):
                 get_logger().warning(
@@ -176,12 +178,13 @@
         previous = self.servers.states
         now = self.reactor.seconds()
         known = {name: state.server for name, state in previous.items()}
-        servers = self.expired.merge(known, listed, now)
+        servers = self.expired_servers.merge(known, listed, now)
         missing = servers.keys() - listed.keys()
         if missing:
             get_logger().info("servers_kept", missing=sorted(missing))
             self.reactor.callLater(
-                self.expired.remaining_s(now) + EXPIRY_MARGIN_S, self.reapply_servers
+                self.expired_servers.remaining_s(now) + EXPIRY_MARGIN_S,
+                self.reapply_servers,
             )
         self.servers.update(servers, now)
         self.on_server_list(servers)
@@ -218,7 +221,7 @@
         """Retain servers whose entries expired while the store was unreachable."""
         settle_s = self.settings().bounds.settle_s
         unavailable_at = self.watchers[SERVERS_INDEX].unavailable_at
-        self.expired.record_store_recovery(
+        self.expired_servers.record_store_recovery(
             self.reactor.seconds(), unavailable_at, settle_s
         )
 
--- a/ebonybend/node/forwarder.py
+++ b/ebonybend/node/forwarder.py
@@ -74,7 +74,7 @@
         new_retry_window: Callable[[], RetryWindow],
         node_count: Callable[[], int],
         random: Random,
-        crashes: CrashDetector,
+        crash_detector: CrashDetector,
     ):
         self.reactor = reactor
         self.pool = pool
@@ -85,7 +85,7 @@
         self.new_retry_window = new_retry_window
         self.node_count = node_count
         self.random = random
-        self.crashes = crashes
+        self.crash_detector = crash_detector
         self.retry_windows: dict[str, RetryWindow] = {}
         self.services: dict[str, ServiceLimits] = {}
 
@@ -104,30 +104,30 @@
         self._refuse_suspect(request)
         progress = _Progress()
         while True:
-            state = self._select_server(request, progress)
-            if state is None:
+            tracked = self._select_server(request, progress)
+            if tracked is None:
                 return self._final_answer(request, progress)
-            progress.excluded.add(state.server.name)
+            progress.excluded.add(tracked.server.name)
             try:
-                answer = await self._send(request, state)
+                answer = await self._send(request, tracked)
             except BackendUnreachable as failure:
                 progress.connect_failures += 1
                 if failure.counts_as_failure:
-                    self._record_unreachable(state, failure.refused, str(failure))
+                    self._record_unreachable(tracked, failure.refused, str(failure))
                 if failure.refused:
-                    self.crashes.record_refused_connection(state.server.name)
+                    self.crash_detector.record_refused_connection(tracked.server.name)
                 progress.error = SteeringError(
                     ErrorKind.BACKEND_UNREACHABLE, str(failure)
                 )
                 continue
             except AnswerNotReceived as failure:
                 if failure.loss is LossReason.UNACKNOWLEDGED:
-                    self._record_unreachable(state, False, str(failure))
+                    self._record_unreachable(tracked, False, str(failure))
                 else:
-                    self._record_failure(state, str(failure))
+                    self._record_failure(tracked, str(failure))
                 if failure.loss in (LossReason.CLOSED, LossReason.UNACKNOWLEDGED):
-                    self.crashes.record_lost_request(
-                        state.server.name, _fingerprint(request)
+                    self.crash_detector.record_lost_request(
+                        tracked.server.name, _fingerprint(request)
                     )
                 progress.error = SteeringError(
                     ErrorKind.ANSWER_LOST, f"no whole answer: {failure}"
@@ -142,35 +142,35 @@
             if answer.status < MIN_FAILURE_STATUS or not request.route.idempotent:
                 return answer
 
-    def _record_failure(self, state: TrackedServer, reason: str) -> None:
-        previous_ejected_until = state.ejected_until
-        state.record_failure(self._now())
-        self._log_ejection(state, previous_ejected_until, reason)
+    def _record_failure(self, tracked: TrackedServer, reason: str) -> None:
+        previous_ejected_until = tracked.ejected_until
+        tracked.record_failure(self._now())
+        self._log_ejection(tracked, previous_ejected_until, reason)
 
     def _record_unreachable(
-        self, state: TrackedServer, refused: bool, reason: str
+        self, tracked: TrackedServer, refused: bool, reason: str
     ) -> None:
-        previous_ejected_until = state.ejected_until
-        state.record_unreachable(self._now(), refused)
-        self._log_ejection(state, previous_ejected_until, reason)
+        previous_ejected_until = tracked.ejected_until
+        tracked.record_unreachable(self._now(), refused)
+        self._log_ejection(tracked, previous_ejected_until, reason)
 
     def _log_ejection(
-        self, state: TrackedServer, previous_ejected_until: float, reason: str
+        self, tracked: TrackedServer, previous_ejected_until: float, reason: str
     ) -> None:
-        if state.ejected_until != previous_ejected_until:
+        if tracked.ejected_until != previous_ejected_until:
             get_logger().info(
                 "server_left_out",
-                server=state.server.name,
-                seconds=round(state.ejected_until - self._now(), 2),
+                server=tracked.server.name,
+                seconds=round(tracked.ejected_until - self._now(), 2),
                 reason=reason,
             )
 
     def _refuse_suspect(self, request: ClientRequest) -> None:
         """Raise SUSPECT_REFUSED for a request that crashed several servers."""
-        if not self.crashes.has_suspects():
+        if not self.crash_detector.has_suspects():
             return
         name = _fingerprint(request)
-        if self.crashes.is_refused(name):
+        if self.crash_detector.is_refused(name):
             raise SteeringError(ErrorKind.SUSPECT_REFUSED, f"suspect {name}")
 
     def _select_server(
@@ -186,16 +186,16 @@
             return None
         if request.sends >= request.route.max_sends:
             return None
-        state = self._choose_server(request, progress.excluded, now)
-        if state is None or not request.sends:
-            return state
+        tracked = self._choose_server(request, progress.excluded, now)
+        if tracked is None or not request.sends:
+            return tracked
         retry_window = self._retry_window(request.service)
-        return state if retry_window.try_acquire(now, self.node_count()) else None
+        return tracked if retry_window.try_acquire(now, self.node_count()) else None
 
     def _final_answer(
         self, request: ClientRequest, progress: "_Progress"
     ) -> BackendAnswer:
-        """Return a server's failure status if there is one, or raise the last error."""
+        """Return the last failure answer, or raise OVERLOADED or ANSWER_LOST."""
         if progress.answer is not None:
             return progress.answer
         if not request.may_have_run:
@@ -235,22 +235,22 @@
         )
 
     async def _send(
-        self, request: ClientRequest, state: TrackedServer
+        self, request: ClientRequest, tracked: TrackedServer
     ) -> BackendAnswer:
         """Send a request to a server and wait for its answer until the deadline."""
-        server = state.server
-        if state.is_cold(self.reactor.seconds()):
+        server = tracked.server
+        if tracked.is_cold(self.reactor.seconds()):
             limits = limits_of(self.services, request.service)
-            state.pacer.record_send(
+            tracked.pacer.record_send(
                 self.reactor.seconds(), limits.cold_rate, self.node_count()
             )
-        state.in_flight += 1
+        tracked.in_flight += 1
         try:
             connection = self.pool.acquire(server, not request.route.idempotent)
             if connection is None:
                 connect_started = self.reactor.seconds()
                 connection = await self.pool.connect(server)
-                state.record_connect_time(self.reactor.seconds() - connect_started)
+                tracked.record_connect_time(self.reactor.seconds() - connect_started)
             started = self.reactor.seconds()
             if request.deadline - started < MIN_REMAINING_S:
                 connection.close()
@@ -261,7 +261,7 @@
                 self._retry_window(request.service).record_first_send(started)
             request.sends += 1
             request.server = server.name
-            request.load = round(state.load(started) - 1, 1)
+            request.load = round(tracked.load(started) - 1, 1)
             may_have_run_before = request.may_have_run
             request.may_have_run = True
             data = self._encode_request(request, server.name, started)
@@ -269,38 +269,38 @@
                 connection.send(request.method, request.request_id, data), request
             )
         except SteeringError as error:
-            self._record_failure(state, error.message)
+            self._record_failure(tracked, error.message)
             raise
         finally:
-            state.in_flight -= 1
+            tracked.in_flight -= 1
         if self.wire.states_not_run(answer.status, answer.headers):
             request.may_have_run = may_have_run_before
-        self._record_answer(request, state, answer, started)
+        self._record_answer(request, tracked, answer, started)
         return answer
 
     def _record_answer(
         self,
         request: ClientRequest,
-        state: TrackedServer,
+        tracked: TrackedServer,
         answer: BackendAnswer,
         started: float,
     ) -> None:
         now = self.reactor.seconds()
         load = self.wire.read_load(answer.headers)
         if load is not None:
-            state.record_load(load.running, load.waiting, now)
+            tracked.record_load(load.running, load.waiting, now)
         if self.wire.states_not_run(answer.status, answer.headers):
             return
         if answer.status >= MIN_FAILURE_STATUS:
-            self._record_failure(state, f"answered {answer.status}")
+            self._record_failure(tracked, f"answered {answer.status}")
         else:
-            seconds = max(now - started - (state.round_trip_s or 0.0), 0.001)
-            state.record_success(seconds)
-            if self.crashes.has_suspects():
-                self.crashes.registry.record_success(_fingerprint(request))
-            waited = request.load >= state.server.slots
+            seconds = max(now - started - (tracked.round_trip_s or 0.0), 0.001)
+            tracked.record_success(seconds)
+            if self.crash_detector.has_suspects():
+                self.crash_detector.registry.record_success(_fingerprint(request))
+            waited = request.load >= tracked.server.slots
             self.times.record_answer_time(
-                request.route.name, state, request.object_key, seconds, waited
+                request.route.name, tracked, request.object_key, seconds, waited
             )
 
     async def _await_answer(
--- a/ebonybend/node/kept_state.py
+++ b/ebonybend/node/kept_state.py
@@ -18,7 +18,7 @@
 
 # Traffic shares change by less than a sixth in this time.
 WRITE_PERIOD_S = 4.0
-# Smallest change of a traffic share that is written; each write is a call.
+# Smallest change of a traffic share that is worth a call to the store.
 MIN_WRITTEN_CHANGE = 0.03
 # An older checkpoint is ignored, because the load has changed since.
 MAX_AGE_S = 60.0
@@ -57,16 +57,16 @@
         """Read the checkpoint and apply it; retry until the store answers."""
         kind, region = self.documents.checkpoint_kind, self.regions.region
         while not tasks.stopped:
-            found = await self.store.get(kind, region)
-            if isinstance(found, Success):
-                self._apply(self.documents.decode_checkpoint(found.unwrap()))
-                self.version = found.unwrap().version
+            answer = await self.store.get(kind, region)
+            if isinstance(answer, Success):
+                self._apply(self.documents.decode_checkpoint(answer.unwrap()))
+                self.version = answer.unwrap().version
                 self.is_loaded = True
                 return
-            if found.failure().kind is StoreFailureKind.NOT_FOUND:
+            if answer.failure().kind is StoreFailureKind.NOT_FOUND:
                 self.is_loaded = True
                 return
-            get_logger().info("kept_state_not_read", error=found.failure().message)
+            get_logger().info("kept_state_not_read", error=answer.failure().message)
             await tasks.sleep(self.backoff.next())
 
     def _apply(self, checkpoint: RegionCheckpoint | None) -> None:
--- a/ebonybend/node/members.py
+++ b/ebonybend/node/members.py
@@ -68,11 +68,12 @@
         self.own = own
         self.listed: dict[str, Member] = {}
         self.heartbeats: dict[str, NodeHeartbeat] = {}
-        # Time of a node's last heartbeat, or of its first appearance in the list.
+        # Time of a node's last heartbeat. For a newly listed node a time in the future,
+        # which leaves it time for the first heartbeat.
         self.last_seen: dict[str, float] = {}
         # Cache of the other nodes in the own region and in all others; None if stale.
         self.cached_peers: tuple[list[Member], list[Member]] | None = None
-        # Starts at a hash, so that different senders don't use the same recipients.
+        # Starts at a hash, so that not all senders choose the same recipients.
         self.round_number = xxh3_64_intdigest(own.name.encode())
 
     def update_list(self, members: Mapping[str, Member], now: float) -> None:
@@ -159,7 +160,7 @@
     def liveness_timeout_s(self, region: str) -> float:
         """Return the time without a heartbeat after which a node counts as dead.
 
-        All nodes use the same round-robin, so the own list gives its length.
+        All nodes use the same round-robin; its length follows from this node's list.
         """
         local, remote = self.local_and_remote_peers()
         is_local = region == self.own.region
@@ -221,7 +222,7 @@
 def _round_robin_slice(
     members: Sequence[Member], max_count: int, round_number: int
 ) -> list[Member]:
-    """Return one slice of the nodes; the next turn returns the slice after it."""
+    """Return one slice of the nodes; the next round returns the slice after it."""
     if len(members) <= max_count:
         return list(members)
     start = round_number * max_count
--- a/ebonybend/node/routing_state.py
+++ b/ebonybend/node/routing_state.py
@@ -54,7 +54,7 @@
 def _most_urgent(config: RoutingConfig) -> dict[str, Route]:
     found: dict[str, Route] = {}
     for route in config.routes:
-        for part in route.part_chooser:
+        for part in route.parts:
             known = found.get(part.service, route)
             found[part.service] = min(known, route, key=_urgency)
     return found
--- a/ebonybend/node/service.py
+++ b/ebonybend/node/service.py
@@ -39,7 +39,7 @@
 from ebonybend.world import BackendServer
 
 MS_PER_S = 1000
-SWEEP_PERIOD_S = 1.0
+CLEANUP_PERIOD_S = 1.0
 # The settings file may change without a signal.
 RELOAD_PERIOD_S = 2.0
 # Descriptors reserved for the store, other nodes, files and backend servers.
@@ -86,9 +86,9 @@
         )
         self.members = Members(self.own)
         self.heartbeat_count = 0
-        self.crashes = CrashDetector(ReactorClock(reactor))
+        self.crash_detector = CrashDetector(ReactorClock(reactor))
         self.forwarder = self._build_forwarder()
-        self.watched = WatchedState(
+        self.watched_state = WatchedState(
             store,
             documents,
             reactor,
@@ -143,7 +143,7 @@
             self.new_retry_window,
             self.members.node_count,
             self.random,
-            self.crashes,
+            self.crash_detector,
         )
 
     def new_retry_window(self) -> RetryWindow:
@@ -155,14 +155,14 @@
 
     def _build_sites(self) -> None:
         settings = self.settings
-        callers = ClientPort(
+        client_port = ClientPort(
             self.routing,
             self.forwarder,
             self.wire,
             self.reactor.seconds,
             self.metrics,
             self.request_log,
-            self.watched.is_synchronised,
+            self.watched_state.is_synchronised,
         )
         directory = Directory(
             self.members,
@@ -171,7 +171,9 @@
             self.reactor.seconds,
             settings.bounds.max_lookup_s,
         )
-        self.client_site = HttpSite(self.reactor, callers.handle, self._http_limits())
+        self.client_site = HttpSite(
+            self.reactor, client_port.handle, self._http_limits()
+        )
         self.client_site.cancels_abandoned = True
         self.sites = {
             settings.callers_address: self.client_site,
@@ -203,7 +205,7 @@
 
     def is_ready(self) -> bool:
         """Return whether clients may use this node."""
-        return self.watched.is_synchronised() and not self.stop.stopping
+        return self.watched_state.is_synchronised() and not self.stop.stopping
 
     def build_heartbeat(self, is_local: bool) -> NodeHeartbeat:
         """Return the next heartbeat for nodes of the own region or of other regions."""
@@ -216,17 +218,17 @@
             count=self.heartbeat_count,
             ready=self.is_ready(),
             demand={name: round(slots * 100) for name, slots in demand.items()},
-            suspects=self.crashes.suspects_to_report(),
-            newest=self.watched.newest_versions(),
-            followed_s=self.watched.store_contact_s(),
+            suspects=self.crash_detector.suspects_to_report(),
+            newest=self.watched_state.newest_versions(),
+            followed_s=self.watched_state.store_contact_s(),
             member=self.own,
         )
 
     def on_heartbeat(self, heartbeat: NodeHeartbeat) -> None:
         """Apply the suspects and the versions that another node reports."""
         if heartbeat.suspects:
-            self.crashes.registry.merge(*heartbeat.suspects)
-        self.watched.apply_heartbeat(heartbeat)
+            self.crash_detector.registry.merge(*heartbeat.suspects)
+        self.watched_state.apply_heartbeat(heartbeat)
 
     def on_routing(self) -> None:
         """Apply the services and limits of a new configuration."""
@@ -260,13 +262,13 @@
         for number in (SIGTERM, SIGINT):
             loop.add_signal_handler(number, self.stop.begin)
         loop.add_signal_handler(SIGHUP, self.on_reload)
-        self.watched.start()
+        self.watched_state.start()
         entry = OwnEntryWriter(self.store, self.documents, self.own, self.random)
         self.tasks.start(entry.write(self.tasks))
         self.tasks.start(self.checkpoints.restore(self.tasks))
         self.tasks.repeat(HEARTBEAT_PERIOD_S, self._send_heartbeat)
         self.tasks.repeat(WRITE_PERIOD_S, self.checkpoints.write)
-        self.tasks.repeat(SWEEP_PERIOD_S, self._close_expired)
+        self.tasks.repeat(CLEANUP_PERIOD_S, self._clean_up)
         self.tasks.repeat(RELOAD_PERIOD_S, self._reload)
         get_logger().info("node_started", incarnation=self.own.incarnation)
 
@@ -274,7 +276,7 @@
         self.regions.update()
         self.heartbeats.send()
 
-    async def _close_expired(self) -> None:
+    async def _clean_up(self) -> None:
         self.pool.close_expired()
         self.request_log.report_dropped()
 
@@ -293,7 +295,7 @@
         if settings.bounds != self.settings.bounds:
             self.forwarder.retry_windows.clear()
         self.settings = settings
-        self.watched.redecode_servers()
+        self.watched_state.redecode_servers()
         get_logger().info("settings_reloaded")
 
     def announce_stop(self) -> None:
@@ -310,5 +312,5 @@
     def shut_down(self) -> None:
         """Stop all tasks and the process."""
         self.tasks.stop()
-        self.watched.stop()
+        self.watched_state.stop()
         self.reactor.callLater(0, self.reactor.stop)
--- a/ebonybend/node/tests/test_followed.py
+++ b/ebonybend/node/tests/test_followed.py
@@ -45,7 +45,7 @@
         self.put("config", "main", {"Version": 1})
         self.put("servers", "s1", server_entry("10.3.0.1:80"))
         self.put("servers", "s2", server_entry("10.3.0.2:80"))
-        self.watched = WatchedState(
+        self.watched_state = WatchedState(
             self.client,
             PlatformDocuments(),
             self.clock,
@@ -57,7 +57,7 @@
             lambda: None,
             lambda servers: None,
         )
-        self.watched.start()
+        self.watched_state.start()
         self.run(1.0)
 
     def put(self, kind, name, spec, deleted=False):
@@ -76,11 +76,11 @@
         self.client.down = False
 
     def wait_for_store(self):
-        while not self.watched.store_contact_s():
+        while not self.watched_state.store_contact_s():
             self.run(0.01)
 
     def heartbeat(self, followed_s):
-        self.watched.apply_heartbeat(heartbeat(OTHER, followed_s=followed_s))
+        self.watched_state.apply_heartbeat(heartbeat(OTHER, followed_s=followed_s))
 
 
 class CountedDocuments(PlatformDocuments):
@@ -100,7 +100,7 @@
 
     def test_only_changed_entries_are_decoded(self):
         node = WatchingNode()
-        documents = node.watched.documents = CountedDocuments()
+        documents = node.watched_state.documents = CountedDocuments()
         node.put("servers", "s2", server_entry("10.3.0.9:80"))
         node.run(2.0)
         self.assertEqual(1, documents.decoded)
@@ -108,8 +108,8 @@
 
     def test_changed_regions_apply_to_all_servers(self):
         node = WatchingNode()
-        documents = node.watched.documents = CountedDocuments()
-        node.watched.redecode_servers()
+        documents = node.watched_state.documents = CountedDocuments()
+        node.watched_state.redecode_servers()
         self.assertEqual(2, documents.decoded)
 
 
--- a/ebonybend/node/tests/test_forwarder.py
+++ b/ebonybend/node/tests/test_forwarder.py
@@ -120,7 +120,7 @@
         table.update(
             {n: BackendServer(n, "s", "a-1", "1:1", 4, region="a") for n in names}, 0.0
         )
-        self.crashes = CrashDetector(ManualClock())
+        self.crash_detector = CrashDetector(ManualClock())
         self.forwarder = Forwarder(
             self.clock,
             self.pool,
@@ -130,7 +130,7 @@
             lambda: RetryWindow(0.0, slack, 10.0),
             lambda: 1,
             Random(1),
-            self.crashes,
+            self.crash_detector,
         )
         self.route = evolve(ROUTE, **route)
         self.results = []
@@ -293,8 +293,8 @@
         for _ in range(CRASHES_TO_REFUSE):
             fixture.forward()
             for name in fixture.forwarder.placement.table.states:
-                fixture.crashes.record_refused_connection(name)
-            fixture.crashes.clock.advance(2.0)
+                fixture.crash_detector.record_refused_connection(name)
+            fixture.crash_detector.clock.advance(2.0)
         fixture.results.clear()
         fixture.forward()
         self.assertEqual(ErrorKind.SUSPECT_REFUSED, fixture.outcome())
--- a/ebonybend/platform/store.py
+++ b/ebonybend/platform/store.py
@@ -89,7 +89,7 @@
             if not isinstance(page, Success):
                 return Failure(page.failure())
             found = page.unwrap()
-            # The first page's revision: the next watch reads changes between two pages.
+            # The first revision; the next watch reads changes made between two pages.
             if revision is None:
                 revision = found.StoreRevision
             items += [stored for raw in found.items if (stored := _decode_object(raw))]
