--- a/ebonybend/node/callers.py
+++ b/ebonybend/node/callers.py
@@ -11,7 +11,7 @@
 from ebonybend.node.backend_connection import BackendAnswer
 from ebonybend.node.caller_requests import ClientRequest
 from ebonybend.node.decisions import RequestLog
-from ebonybend.node.forwarder import CONNECTION_HEADERS, Forwarder
+from ebonybend.node.forwarder import NOT_FORWARDED_HEADERS, Forwarder
 from ebonybend.node.metrics import NodeMetrics
 from ebonybend.node.routing_state import RoutingState
 from ebonybend.node.wire import ClientHeaders, WireFormat
@@ -23,7 +23,7 @@
 # A status that allows a retry, because a harmless request may match a suspect one.
 SUSPECT_STATUS = 503
 # Answer headers that the node's own HTTP server writes.
-NODE_HEADERS = CONNECTION_HEADERS | {b"date", b"server"}
+NODE_HEADERS = NOT_FORWARDED_HEADERS | {b"date", b"server"}
 
 
 class ClientPort:
--- a/ebonybend/node/forwarder.py
+++ b/ebonybend/node/forwarder.py
@@ -27,7 +27,7 @@
 from ebonybend.world.route import ServiceLimits
 
 # Hop-by-hop headers, and headers that the node sets itself.
-CONNECTION_HEADERS = frozenset(
+NOT_FORWARDED_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -334,7 +334,7 @@
         lines = [b"%s %s HTTP/1.1" % (request.method, request.uri)]
         for name, values in request.headers.getAllRawHeaders():
             lowered = name.lower()
-            if lowered in CONNECTION_HEADERS or lowered in replaced:
+            if lowered in NOT_FORWARDED_HEADERS or lowered in replaced:
                 continue
             lines += [b"%s: %s" % (name, value) for value in values]
         lines += [b"%s: %s" % pair for pair in added_headers]
--- a/ebonybend/node/tests/test_backend_connection.py
+++ b/ebonybend/node/tests/test_backend_connection.py
@@ -78,11 +78,11 @@
             {"parts": [COMPLETE + OTHER], "body": b"whole", "kept": False},
         ),
         (
-            "a late answer goes before",
+            "a late answer arrives first",
             {"parts": [OTHER + COMPLETE], "body": b"whole", "kept": False},
         ),
         (
-            "a late answer goes before in pieces",
+            "a late answer arrives first in pieces",
             {
                 "parts": [OTHER[:30], OTHER[30:] + COMPLETE[:9], COMPLETE[9:]],
                 "body": b"whole",
@@ -104,7 +104,7 @@
             {"parts": [b"\0\1\2 garbage\r\n\r\n"], "loss": LossReason.MALFORMED},
         ),
         (
-            "only others' answers",
+            "only answers to other requests",
             {"parts": [OTHER + OTHER + OTHER], "loss": LossReason.MALFORMED},
         ),
     ]
@@ -162,7 +162,7 @@
     scenarios = [
         ("nothing acknowledged", {"loss": LossReason.UNACKNOWLEDGED}),
         ("reset at once", {"after_s": 0.1, "loss": LossReason.CLOSED}),
-        ("a part had arrived", {"received": OK, "loss": LossReason.CLOSED}),
+        ("part of the answer had arrived", {"received": OK, "loss": LossReason.CLOSED}),
         ("closed by the server", {"reason": DONE, "loss": LossReason.CLOSED}),
     ]
     after_s = ACK_TIMEOUT_MS / 1000
--- a/ebonybend/node/tests/test_followed.py
+++ b/ebonybend/node/tests/test_followed.py
@@ -118,8 +118,8 @@
 
     scenarios = [
         ("alone", {"contact_s": None, "kept": True}),
-        ("another node followed all the while", {"contact_s": 9.0, "kept": False}),
-        ("another node returned as late", {"contact_s": 0.1, "kept": True}),
+        ("another node was connected throughout", {"contact_s": 9.0, "kept": False}),
+        ("another node reconnected as late", {"contact_s": 0.1, "kept": True}),
         ("another node can't reach the store", {"contact_s": 0.0, "kept": True}),
     ]
 
--- a/ebonybend/node/tests/test_forwarder.py
+++ b/ebonybend/node/tests/test_forwarder.py
@@ -39,7 +39,7 @@
 OK = BackendAnswer(200, Headers(), b"whole")
 FAILED = BackendAnswer(500, Headers(), b"failed")
 FULL = BackendAnswer(503, Headers({"Not-Run": ["1"]}), b"")
-WRONG = BackendAnswer(421, Headers(), b"")
+WRONG_SERVER = BackendAnswer(421, Headers(), b"")
 CLOSED = AnswerNotReceived(LossReason.CLOSED)
 REFUSED = BackendUnreachable("refused", True)
 
@@ -184,7 +184,7 @@
             "full everywhere",
             {"script": [FULL, FULL], "sends": 2, "ends": ErrorKind.OVERLOADED},
         ),
-        ("another server", {"script": [WRONG, OK], "sends": 2, "ends": 200}),
+        ("another server", {"script": [WRONG_SERVER, OK], "sends": 2, "ends": 200}),
         (
             "lost, then full",
             {"script": [CLOSED, FULL], "sends": 2, "ends": ErrorKind.ANSWER_LOST},
--- a/ebonybend/node/tests/test_kept_state.py
+++ b/ebonybend/node/tests/test_kept_state.py
@@ -110,7 +110,7 @@
 
     scenarios = [
         ("the first node of the region", {"own": FIRST, "writes": 1}),
-        ("another one", {"own": SECOND, "writes": 0}),
+        ("another node", {"own": SECOND, "writes": 0}),
         ("nothing changed", {"own": FIRST, "again": True, "writes": 1}),
         ("the store was not read", {"own": FIRST, "read": False, "writes": 0}),
         ("the answer is lost", {"own": FIRST, "lost": 1, "again": True, "writes": 2}),
--- a/ebonybend/node/tests/test_members.py
+++ b/ebonybend/node/tests/test_members.py
@@ -15,7 +15,7 @@
 
 # Budget for a node's control traffic in the two-year target, in bytes per second.
 CONTROL_BYTES_PER_S = 11_000
-# Longest time for which a dead node may be listed, the strictest of all sites.
+# Longest time for which a dead node may be listed: the strictest limit of all sites.
 MAX_LISTED_S = 6.0
 
 
@@ -25,9 +25,9 @@
 
 
 def members(count, regions, own=0):
-    found = Members(member(own, regions))
-    found.update_list({f"n{i}": member(i, regions) for i in range(count)}, 0.0)
-    return found
+    membership = Members(member(own, regions))
+    membership.update_list({f"n{i}": member(i, regions) for i in range(count)}, 0.0)
+    return membership
 
 
 class RoundRobinTest(TestWithScenarios, TestCase):
@@ -35,7 +35,7 @@
 
     scenarios = [
         ("today", {"count": 7, "regions": 3}),
-        ("once grown", {"count": 26, "regions": 3}),
+        ("after growth", {"count": 26, "regions": 3}),
         ("sweep", {"count": 300, "regions": 3}),
         ("in two years", {"count": 520, "regions": 10}),
     ]
@@ -49,57 +49,65 @@
 
     def test_control_traffic_stays_in_its_budget(self):
         kinds = ("config", "servers", "evacuations", "ebonybend-nodes")
-        found = members(self.count, self.regions)
+        membership = members(self.count, self.regions)
         sent = heartbeat(
-            found.own,
+            membership.own,
             demand={f"service-{i}": 12_345 for i in range(4)},
             newest=dict.fromkeys(kinds, 123_456),
         )
-        local, remote = found.recipients()
+        local, remote = membership.recipients()
         per_s = len(pack(sent)) * len(local + remote) / HEARTBEAT_PERIOD_S
         self.assertLess(per_s, CONTROL_BYTES_PER_S)
 
     def test_every_node_is_reached_within_the_liveness_timeout(self):
-        found = members(self.count, self.regions)
-        for number, group in enumerate(found.local_and_remote_peers()):
-            timeout_s = found.liveness_timeout_s(group[0].region)
+        membership = members(self.count, self.regions)
+        for number, group in enumerate(membership.local_and_remote_peers()):
+            timeout_s = membership.liveness_timeout_s(group[0].region)
             reached = set()
             for _ in range(
                 int((timeout_s - LIVENESS_TIMEOUT_S) / HEARTBEAT_PERIOD_S + 1.01)
             ):
-                reached |= {each.name for each in found.recipients()[number]}
+                reached |= {each.name for each in membership.recipients()[number]}
             self.assertEqual(set(), {m.name for m in group} - reached)
 
     def test_dead_node_of_the_region_is_soon_unlisted(self):
-        found = members(self.count, self.regions)
-        self.assertLessEqual(found.liveness_timeout_s(found.own.region), MAX_LISTED_S)
+        membership = members(self.count, self.regions)
+        self.assertLessEqual(
+            membership.liveness_timeout_s(membership.own.region), MAX_LISTED_S
+        )
 
 
 class AliveTest(TestCase):
     """Guards against clients that are directed to dead nodes."""
 
     def test_node_that_stops_sending(self):
-        found = members(7, 3)
+        membership = members(7, 3)
         other = member(3, 3)
-        found.record_heartbeat(heartbeat(other), 10.0)
-        self.assertIn(other, found.ready_members(10.0 + LIVENESS_TIMEOUT_S, True))
-        self.assertNotIn(other, found.ready_members(10.1 + LIVENESS_TIMEOUT_S, True))
+        membership.record_heartbeat(heartbeat(other), 10.0)
+        self.assertIn(other, membership.ready_members(10.0 + LIVENESS_TIMEOUT_S, True))
+        self.assertNotIn(
+            other, membership.ready_members(10.1 + LIVENESS_TIMEOUT_S, True)
+        )
 
     def test_node_that_is_not_ready(self):
-        found = members(7, 3)
-        found.record_heartbeat(heartbeat(member(3, 3), ready=False), 10.0)
-        self.assertEqual([found.own], found.ready_members(10.0, True))
+        membership = members(7, 3)
+        membership.record_heartbeat(heartbeat(member(3, 3), ready=False), 10.0)
+        self.assertEqual([membership.own], membership.ready_members(10.0, True))
 
     def test_old_datagram_is_ignored(self):
-        found = members(7, 3)
-        self.assertTrue(found.record_heartbeat(heartbeat(member(3, 3), count=2), 10.0))
-        self.assertFalse(found.record_heartbeat(heartbeat(member(3, 3), count=1), 11.0))
+        membership = members(7, 3)
+        self.assertTrue(
+            membership.record_heartbeat(heartbeat(member(3, 3), count=2), 10.0)
+        )
+        self.assertFalse(
+            membership.record_heartbeat(heartbeat(member(3, 3), count=1), 11.0)
+        )
 
     def test_restart_after_the_clock_was_set_back(self):
-        found = members(7, 3)
+        membership = members(7, 3)
         other = member(3, 3)
-        found.record_heartbeat(heartbeat(other, incarnation=9000, count=5), 10.0)
+        membership.record_heartbeat(heartbeat(other, incarnation=9000, count=5), 10.0)
         late = heartbeat(other, incarnation=5000, count=1)
-        self.assertFalse(found.record_heartbeat(late, 10.0 + DATAGRAM_LIFETIME_S))
-        self.assertTrue(found.record_heartbeat(late, 10.1 + DATAGRAM_LIFETIME_S))
-        self.assertIn(other, found.ready_members(12.0, True))
+        self.assertFalse(membership.record_heartbeat(late, 10.0 + DATAGRAM_LIFETIME_S))
+        self.assertTrue(membership.record_heartbeat(late, 10.1 + DATAGRAM_LIFETIME_S))
+        self.assertIn(other, membership.ready_members(12.0, True))
--- a/ebonybend/node/wire.py
+++ b/ebonybend/node/wire.py
@@ -91,7 +91,7 @@
     servers_kind: str
     evacuations_kind: str
     members_kind: str
-    # Checkpoints: one object for each region, which isn't watched.
+    # Kind of the checkpoints: one object for each region; not watched.
     checkpoint_kind: str
 
     def decode_config(self, stored: StoredObject) -> RoutingConfig | None:
