--- a/ebonybend/platform/calls.py
+++ b/ebonybend/platform/calls.py
@@ -10,41 +10,41 @@
 RESOLVE_PATH = "/resolve"
 READY_PATH = "/ready"
 # Identifies one attempt of a client; servers echo it.
-REQUEST_ID = b"Attempt-Id"
+REQUEST_ID_HEADER = b"Attempt-Id"
 # Milliseconds for which the sender waits.
-DEADLINE = b"Deadline-Ms"
+DEADLINE_HEADER = b"Deadline-Ms"
 # Requests for the same object have the same value.
-OBJECT_KEY = b"Affinity-Key"
+OBJECT_KEY_HEADER = b"Affinity-Key"
 # Name of the only server that may run the request.
-EXPECTED_SERVER = b"Expect-Instance"
+EXPECTED_SERVER_HEADER = b"Expect-Instance"
 # Running requests, waiting requests and slots, separated by commas.
-LOAD = b"Server-Load"
+LOAD_HEADER = b"Server-Load"
 # States that the server did not run the request.
-NOT_RUN = b"Not-Executed"
-RETRY_AFTER = "Retry-After"
+NOT_RUN_HEADER = b"Not-Executed"
+RETRY_AFTER_HEADER = "Retry-After"
 MS_PER_S = 1000.0
 
 
 class PlatformWireFormat:
     """The platform's formats of calls between clients, nodes and servers."""
 
-    request_id_header = REQUEST_ID
+    request_id_header = REQUEST_ID_HEADER
     lookup_path = RESOLVE_PATH
     ready_path = READY_PATH
 
     def read_client_headers(self, headers: Headers) -> ClientHeaders | None:
         """Return the decoded headers; None without an id or with a bad deadline."""
-        request_id = _single(headers, REQUEST_ID)
+        request_id = _first_value(headers, REQUEST_ID_HEADER)
         if not request_id:
             return None
-        text = _single(headers, DEADLINE)
+        value = _first_value(headers, DEADLINE_HEADER)
         deadline_s = None
-        if text is not None:
-            if not text.isdigit():
+        if value is not None:
+            if not value.isdigit():
                 return None
-            deadline_s = int(text) / MS_PER_S
+            deadline_s = int(value) / MS_PER_S
         return ClientHeaders(
-            request_id, deadline_s, _single(headers, OBJECT_KEY) or b""
+            request_id, deadline_s, _first_value(headers, OBJECT_KEY_HEADER) or b""
         )
 
     def server_headers(
@@ -52,25 +52,28 @@
     ) -> tuple[tuple[bytes, bytes], ...]:
         """Return the headers that are added to a request to a server."""
         remaining_ms = max(int(remaining_s * MS_PER_S), 1)
-        return ((DEADLINE, b"%d" % remaining_ms), (EXPECTED_SERVER, server.encode()))
+        return (
+            (DEADLINE_HEADER, b"%d" % remaining_ms),
+            (EXPECTED_SERVER_HEADER, server.encode()),
+        )
 
     def states_not_run(self, status: int, headers: Headers) -> bool:
         """Return whether an answer states that the server didn't run the request."""
-        return status == 421 or headers.hasHeader(NOT_RUN)
+        return status == 421 or headers.hasHeader(NOT_RUN_HEADER)
 
     def read_load(self, headers: Headers) -> ServerLoad | None:
         """Return the load that an answer reports, or None."""
-        text = _single(headers, LOAD)
-        if text is None:
+        value = _first_value(headers, LOAD_HEADER)
+        if value is None:
             return None
-        parts = text.split(b",")
+        parts = value.split(b",")
         if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
             return None
         return ServerLoad(*(int(part) for part in parts))
 
     def retry_after_header(self, seconds: float) -> tuple[str, str]:
         """Return the header that states the delay before a client's retry."""
-        return RETRY_AFTER, f"{seconds:.3f}"
+        return RETRY_AFTER_HEADER, f"{seconds:.3f}"
 
     def read_lookup(self, query: Mapping[bytes, list[bytes]]) -> tuple[str, str]:
         """Return the failure domain and the region that a client states."""
@@ -82,6 +85,6 @@
         return to_json({"Addrs": list(addresses), "TtlS": lifetime_s})
 
 
-def _single(headers: Headers, name: bytes) -> bytes | None:
+def _first_value(headers: Headers, name: bytes) -> bytes | None:
     values = headers.getRawHeaders(name)
     return values[0].strip() if values else None
--- a/ebonybend/platform/documents.py
+++ b/ebonybend/platform/documents.py
@@ -26,8 +26,8 @@
 CHECKPOINT_KIND = "ebonybend-kept"
 
 MS_PER_S = 1000.0
-SAFE = "safe"
-STATES = {"ready": LifeState.LIVE, "draining": LifeState.LEAVING}
+IDEMPOTENT_KIND = "safe"
+LIFE_STATES = {"ready": LifeState.LIVE, "draining": LifeState.LEAVING}
 
 
 @frozen
@@ -127,13 +127,13 @@
     Spec: RegionCheckpoint
 
 
-def _route(host: str, path: _Path) -> Route:
+def _decode_route(host: str, path: _Path) -> Route:
     parts = tuple(RoutePart(part.Service, part.Weight) for part in path.Backends)
     return Route(
         name=path.Name,
         host=host.lower(),
         prefix=path.PathPrefix,
-        idempotent=path.Kind == SAFE,
+        idempotent=path.Kind == IDEMPOTENT_KIND,
         parts=parts or (RoutePart(path.Service, 1.0),),
         max_sends=max(path.MaxAttempts, 1),
         timeout_s=path.TimeoutMs / MS_PER_S,
@@ -163,7 +163,7 @@
         return RoutingConfig(
             config.Version,
             tuple(
-                _route(host.Host, path)
+                _decode_route(host.Host, path)
                 for host in config.VirtualHosts
                 for path in host.Paths
             ),
@@ -188,7 +188,7 @@
         except SteeringError:
             return None
         info, status = spec.Info, spec.Status
-        state = STATES.get(status.State)
+        state = LIFE_STATES.get(status.State)
         host, _, port = spec.Addr.rpartition(":")
         if state is None or not host or not port.isdigit() or info.MaxConcurrency < 1:
             return None
--- a/ebonybend/platform/store.py
+++ b/ebonybend/platform/store.py
@@ -113,14 +113,14 @@
         """
         if version == 0:
             method, path = "POST", f"/objects/{quote(kind, safe='')}"
-            head = b'{"Metadata":{"Name":%s},"Spec":' % to_json(name)
+            prefix = b'{"Metadata":{"Name":%s},"Spec":' % to_json(name)
         else:
             method, path = "PUT", _path(kind, name)
-            head = b'{"Metadata":{"Name":%s,"Rev":%d},"Spec":' % (
+            prefix = b'{"Metadata":{"Name":%s,"Rev":%d},"Spec":' % (
                 to_json(name),
                 version,
             )
-        answer = await self._call(method, path, head + value + b"}")
+        answer = await self._call(method, path, prefix + value + b"}")
         return answer.bind(_decode_body).map(lambda stored: stored.version)
 
     async def delete(
@@ -146,10 +146,10 @@
         request = self.http.request(
             method, self.address, path, headers, body, timeout, MAX_ANSWER_BYTES
         )
-        return await store_result(request, _failure)
+        return await store_result(request, _decode_failure)
 
 
-def _failure(answer: HttpAnswer) -> StoreFailure:
+def _decode_failure(answer: HttpAnswer) -> StoreFailure:
     message = f"the store answered {answer.status}"
     if answer.status == 404:
         return StoreFailure(StoreFailureKind.NOT_FOUND, message)
