--- a/ebonybend/node/lag.py
+++ b/ebonybend/node/lag.py
@@ -2,7 +2,7 @@
 
 # A working watch reports a change at most this much later than another node's watch.
 LAG_TOLERANCE_S = 0.6
-# Least time between two lists of one kind that a lag triggers.
+# Minimum time between two lists of one kind that a lag triggers.
 RELIST_INTERVAL_S = 2.0
 
 
--- a/ebonybend/node/tests/test_backend_connection.py
+++ b/ebonybend/node/tests/test_backend_connection.py
@@ -44,8 +44,8 @@
     """Guards against returning a partial answer, or that of another request."""
 
     scenarios = [
-        ("whole", {"parts": [COMPLETE], "body": b"whole", "kept": True}),
-        ("byte by byte", {"parts": list(COMPLETE), "body": b"whole", "kept": True}),
+        ("whole", {"parts": [COMPLETE], "body": b"whole", "reusable": True}),
+        ("byte by byte", {"parts": list(COMPLETE), "body": b"whole", "reusable": True}),
         (
             "chunked",
             {
@@ -54,7 +54,7 @@
                     b"2\r\nwh\r\n3\r\nole\r\n0\r\n\r\n",
                 ],
                 "body": b"whole",
-                "kept": True,
+                "reusable": True,
             },
         ),
         (
@@ -62,7 +62,7 @@
             {
                 "parts": [OK + ID + b"Content-Length: 0\r\n\r\n"],
                 "body": b"",
-                "kept": True,
+                "reusable": True,
             },
         ),
         (
@@ -70,28 +70,32 @@
             {
                 "parts": [OK + ID + b"Connection: close\r\nContent-Length: 1\r\n\r\nx"],
                 "body": b"x",
-                "kept": False,
+                "reusable": False,
             },
         ),
         (
             "a second answer follows",
-            {"parts": [COMPLETE + OTHER], "body": b"whole", "kept": False},
+            {"parts": [COMPLETE + OTHER], "body": b"whole", "reusable": False},
         ),
         (
             "a late answer arrives first",
-            {"parts": [OTHER + COMPLETE], "body": b"whole", "kept": False},
+            {"parts": [OTHER + COMPLETE], "body": b"whole", "reusable": False},
         ),
         (
             "a late answer arrives first in pieces",
             {
                 "parts": [OTHER[:30], OTHER[30:] + COMPLETE[:9], COMPLETE[9:]],
                 "body": b"whole",
-                "kept": False,
+                "reusable": False,
             },
         ),
         (
             "unframed and ended",
-            {"parts": [OK + ID + b"\r\nwhole", DONE], "body": b"whole", "kept": False},
+            {
+                "parts": [OK + ID + b"\r\nwhole", DONE],
+                "body": b"whole",
+                "reusable": False,
+            },
         ),
         (
             "unframed and reset",
@@ -110,7 +114,7 @@
     ]
     parts = ()
     body = None
-    kept = False
+    reusable = False
     loss = None
 
     def test_answer(self):
@@ -128,8 +132,8 @@
             self.assertEqual(self.loss, result.value.loss)
         else:
             self.assertEqual(self.body, result.body)
-        self.assertEqual(self.kept, bool(exchange.idle))
-        self.assertEqual(self.kept, exchange.connection.usable)
+        self.assertEqual(self.reusable, bool(exchange.idle))
+        self.assertEqual(self.reusable, exchange.connection.usable)
 
 
 class ReuseTest(TestCase):
--- a/ebonybend/node/tests/test_followed.py
+++ b/ebonybend/node/tests/test_followed.py
@@ -117,10 +117,13 @@
     """Guards against requests to a server removed while the node was disconnected."""
 
     scenarios = [
-        ("alone", {"contact_s": None, "kept": True}),
-        ("another node was connected throughout", {"contact_s": 9.0, "kept": False}),
-        ("another node reconnected as late", {"contact_s": 0.1, "kept": True}),
-        ("another node can't reach the store", {"contact_s": 0.0, "kept": True}),
+        ("no other node", {"contact_s": None, "retained": True}),
+        (
+            "another node was connected throughout",
+            {"contact_s": 9.0, "retained": False},
+        ),
+        ("another node reconnected as late", {"contact_s": 0.1, "retained": True}),
+        ("another node can't reach the store", {"contact_s": 0.0, "retained": True}),
     ]
 
     def test_missing_server_after_recovery(self):
@@ -132,7 +135,7 @@
         self.assertIn("s1", node.servers.states)
         if self.contact_s is not None:
             node.heartbeat(self.contact_s)
-        self.assertEqual(self.kept, "s1" in node.servers.states)
+        self.assertEqual(self.retained, "s1" in node.servers.states)
         node.run(SETTLE_S)
         self.assertEqual(["s2"], list(node.servers.states))
 
