--- a/ebonybend/node/decisions.py
+++ b/ebonybend/node/decisions.py
@@ -1,4 +1,4 @@
-"""One log line for each decision on a request, bounded in lines a second."""
+"""One log line for each request, limited in lines per second."""
 
 from collections.abc import Callable
 
@@ -7,15 +7,15 @@
 from ebonybend.node.caller_requests import ClientRequest
 from ebonybend.node.wire import ClientHeaders
 
-# Lines a second of ordinary answers, and of refusals and failures. A line costs about
-# 20 us, so both together stay below 1% of a core.
+# Lines per second for successful answers, and for refusals and failures. A line costs
+# about 20 us, so both together stay below 1% of a core.
 MAX_ANSWER_LINES_PER_S = 50
-MOST_FAILURES_PER_S = 200
-FAILED_STATUS = 500
+MAX_FAILURE_LINES_PER_S = 200
+MIN_FAILURE_STATUS = 500
 
 
 class LineBudget:
-    """Allow a number of lines in each second and count the rest."""
+    """Limit the lines in each second and count those over the limit."""
 
     def __init__(self, per_s: int):
         self.per_s = per_s
@@ -40,25 +40,25 @@
         return dropped
 
 
-class DecisionLog:
-    """Log how each request ended, failures before ordinary answers."""
+class RequestLog:
+    """Log the outcome of requests, with a larger limit for failures."""
 
     def __init__(self, clock: Callable[[], float], file: LossyFile):
         self.clock = clock
         self.file = file
         self.answers = LineBudget(MAX_ANSWER_LINES_PER_S)
-        self.failures = LineBudget(MOST_FAILURES_PER_S)
+        self.failures = LineBudget(MAX_FAILURE_LINES_PER_S)
 
-    def answered(
+    def record_outcome(
         self,
-        told: ClientHeaders | None,
+        client_headers: ClientHeaders | None,
         request: ClientRequest | None,
         status: int,
         seconds: float,
         error: SteeringError | None,
     ) -> None:
-        """Log the end of a request; status 0 says that the caller left."""
-        failed = error is not None or status >= FAILED_STATUS or status == 0
+        """Log the outcome of a request; status 0 means that the client disconnected."""
+        failed = error is not None or status >= MIN_FAILURE_STATUS or status == 0
         budget = self.failures if failed else self.answers
         if not budget.allow(self.clock()):
             return
@@ -69,7 +69,7 @@
                 "config": request.config_version,
                 "service": request.service,
                 "region": request.region,
-                "returned": request.returned,
+                "returned": request.is_client_retry,
                 "object": request.object_key.decode("latin-1"),
                 "server": request.server,
                 "sends": request.sends,
@@ -80,14 +80,16 @@
             fields |= {"error": error.kind.value, "reason": error.message}
         get_logger().info(
             "request_ended",
-            request_id=told.request_id.decode("latin-1") if told else None,
+            request_id=client_headers.request_id.decode("latin-1")
+            if client_headers
+            else None,
             status=status,
             seconds=round(seconds, 4),
             **fields,
         )
 
     def report_dropped(self) -> None:
-        """Log how many lines were left out since the last report."""
+        """Log how many lines were dropped since the last report."""
         answers, failures = (
             self.answers.pop_dropped_count(),
             self.failures.pop_dropped_count(),
--- a/ebonybend/node/routing_state.py
+++ b/ebonybend/node/routing_state.py
@@ -1,4 +1,4 @@
-"""The newest routing configuration; a version is never taken back."""
+"""The newest routing configuration; an older version is never applied."""
 
 from ebonybend.logs import get_logger
 from ebonybend.steering.returns import ClientRetryDetector
@@ -7,7 +7,7 @@
 
 
 class RoutingState:
-    """Routes and services of the newest version."""
+    """Routes, services and limits of the newest version."""
 
     def __init__(self) -> None:
         self.version: int | None = None
@@ -17,11 +17,11 @@
         self.limits = ClientLimits()
         # The most urgent route of each service.
         self.most_urgent: dict[str, Route] = {}
-        self.parts = PartChooser()
-        self.returns = ClientRetryDetector()
+        self.part_chooser = PartChooser()
+        self.client_retry_detector = ClientRetryDetector()
 
-    def take(self, config: RoutingConfig) -> bool:
-        """Use a configuration if it is newer; return whether it is."""
+    def apply(self, config: RoutingConfig) -> bool:
+        """Apply a configuration if it is newer; return whether it was applied."""
         if self.version is not None and config.version <= self.version:
             return False
         before, self.version = self.version, config.version
@@ -30,9 +30,9 @@
         self.services = {service.name: service for service in config.services}
         self.limits = config.limits
         self.most_urgent = _most_urgent(config)
-        names = {route.name for route in config.routes}
-        self.parts.forget_except(names)
-        self.returns.retain(names)
+        route_names = {route.name for route in config.routes}
+        self.part_chooser.forget_except(route_names)
+        self.client_retry_detector.retain(route_names)
         get_logger().info(
             "config_in_force",
             version=config.version,
@@ -46,7 +46,7 @@
         return self.table.find(host, path)
 
     def urgent_route(self, route: Route, service: str) -> Route | None:
-        """Return the most urgent route of a service if it goes before another."""
+        """Return a service's most urgent route if it is more urgent than this one."""
         found = self.most_urgent.get(service)
         return found if found and found.priority < route.priority else None
 
--- a/ebonybend/node/stop.py
+++ b/ebonybend/node/stop.py
@@ -1,4 +1,4 @@
-"""Stop a node within its grace time without cutting off a request."""
+"""Stop a node within its grace time without aborting requests."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,15 +9,15 @@
 from ebonybend.logs import get_logger
 
 POLL_INTERVAL_S = 0.05
-# Part of the grace time in which new requests are still served, so that callers with
-# an old directory answer meet no refused connection.
-SERVING_PART = 0.6
-# Time before the end of the grace at which what is left is closed.
+# Fraction of the grace time in which new requests are still served, so that clients
+# with a cached directory answer meet no refused connection.
+SERVING_FRACTION = 0.6
+# Time before the end of the grace time at which remaining requests are aborted.
 END_MARGIN_S = 0.3
 
 
 class NodeStop:
-    """Serve on while callers leave, then close and end."""
+    """Serve while clients move to other nodes, then close the ports and exit."""
 
     def __init__(
         self,
@@ -26,39 +26,39 @@
         announce: Callable[[], None],
         close_ports: Callable[[], None],
         running: Callable[[], int],
-        end: Callable[[], None],
+        shut_down: Callable[[], None],
     ):
         self.reactor = reactor
         self.grace_s = grace_s
         self.announce = announce
         self.close_ports = close_ports
         self.running = running
-        self.end = end
+        self.shut_down = shut_down
         self.stopping = False
 
-    def request(self) -> None:
-        """Begin to stop; a second request ends the process at once."""
+    def begin(self) -> None:
+        """Start the stop; a second call exits at once."""
         if self.stopping:
             get_logger().warning("immediate_stop", running=self.running())
-            self.end()
+            self.shut_down()
             return
         self.stopping = True
         get_logger().info("stop_begins", running=self.running(), grace_s=self.grace_s)
         self.announce()
-        Deferred.fromCoroutine(self._run()).addErrback(self._failed)
+        Deferred.fromCoroutine(self._run()).addErrback(self._on_failure)
 
-    def _failed(self, failure: Any) -> None:
+    def _on_failure(self, failure: Any) -> None:
         get_logger().error("stop_failed", error=repr(failure.value))
-        self.end()
+        self.shut_down()
 
     async def _run(self) -> None:
         started = self.reactor.seconds()
-        await deferLater(self.reactor, self.grace_s * SERVING_PART)
+        await deferLater(self.reactor, self.grace_s * SERVING_FRACTION)
         self.close_ports()
         until = started + self.grace_s - END_MARGIN_S
         while self.running() and self.reactor.seconds() < until:
             await deferLater(self.reactor, POLL_INTERVAL_S)
-        # Lets the last answers leave the sockets.
+        # Time for the sockets to send the last answers.
         await deferLater(self.reactor, POLL_INTERVAL_S)
         get_logger().info("stopped", seconds=round(self.reactor.seconds() - started, 3))
-        self.end()
+        self.shut_down()
--- a/ebonybend/node/tests/beat_double.py
+++ b/ebonybend/node/tests/beat_double.py
@@ -1,13 +1,13 @@
-"""Beats for tests."""
+"""Heartbeats for tests."""
 
 from attrs import evolve
 
-from ebonybend.node.members import Beat, Member
+from ebonybend.node.members import Member, NodeHeartbeat
 
 
-def beat(sender: Member, **changes) -> Beat:
-    """Return a beat of a node that is ready and has nothing to tell."""
-    plain = Beat(
+def heartbeat(sender: Member, **changes) -> NodeHeartbeat:
+    """Return a heartbeat of a ready node with nothing to report."""
+    plain = NodeHeartbeat(
         name=sender.name,
         incarnation=1,
         count=1,
--- a/ebonybend/node/tests/test_backend_connection.py
+++ b/ebonybend/node/tests/test_backend_connection.py
@@ -5,28 +5,28 @@
 from twisted.python.failure import Failure
 
 from ebonybend.node.backend_connection import (
-    SILENT_AFTER_MS,
+    ACK_TIMEOUT_MS,
     AnswerNotReceived,
     BackendConnection,
-    Loss,
+    LossReason,
 )
 
 ID = b"Request-Id: a1\r\n"
 OK = b"HTTP/1.1 200 OK\r\n"
-WHOLE = OK + ID + b"Content-Length: 5\r\n\r\nwhole"
+COMPLETE = OK + ID + b"Content-Length: 5\r\n\r\nwhole"
 OTHER = OK + b"Request-Id: b2\r\nContent-Length: 5\r\n\r\nother"
 DONE = Failure(ConnectionDone())
 RESET = Failure(ConnectionLost())
 
 
 class Exchange:
-    """A connection with one request under way."""
+    """A connection with one request in flight."""
 
     def __init__(self):
-        self.freed = []
+        self.idle = []
         self.now = 0.0
         self.connection = BackendConnection(
-            b"Request-Id", self.freed.append, lambda: self.now
+            b"Request-Id", self.idle.append, lambda: self.now
         )
         self.transport = StringTransport()
         self.transport.abortConnection = self.transport.loseConnection
@@ -41,11 +41,11 @@
 
 
 class BackendConnectionTest(TestWithScenarios, TestCase):
-    """Guards against a part, or another request's answer, taken for the answer."""
+    """Guards against returning a partial answer, or that of another request."""
 
     scenarios = [
-        ("whole", {"parts": [WHOLE], "body": b"whole", "kept": True}),
-        ("byte by byte", {"parts": list(WHOLE), "body": b"whole", "kept": True}),
+        ("whole", {"parts": [COMPLETE], "body": b"whole", "reusable": True}),
+        ("byte by byte", {"parts": list(COMPLETE), "body": b"whole", "reusable": True}),
         (
             "chunked",
             {
@@ -54,7 +54,7 @@
                     b"2\r\nwh\r\n3\r\nole\r\n0\r\n\r\n",
                 ],
                 "body": b"whole",
-                "kept": True,
+                "reusable": True,
             },
         ),
         (
@@ -62,7 +62,7 @@
             {
                 "parts": [OK + ID + b"Content-Length: 0\r\n\r\n"],
                 "body": b"",
-                "kept": True,
+                "reusable": True,
             },
         ),
         (
@@ -70,44 +70,51 @@
             {
                 "parts": [OK + ID + b"Connection: close\r\nContent-Length: 1\r\n\r\nx"],
                 "body": b"x",
-                "kept": False,
+                "reusable": False,
             },
         ),
         (
             "a second answer follows",
-            {"parts": [WHOLE + OTHER], "body": b"whole", "kept": False},
+            {"parts": [COMPLETE + OTHER], "body": b"whole", "reusable": False},
         ),
         (
-            "a late answer goes before",
-            {"parts": [OTHER + WHOLE], "body": b"whole", "kept": False},
+            "a late answer arrives first",
+            {"parts": [OTHER + COMPLETE], "body": b"whole", "reusable": False},
         ),
         (
-            "a late answer goes before in pieces",
+            "a late answer arrives first in pieces",
             {
-                "parts": [OTHER[:30], OTHER[30:] + WHOLE[:9], WHOLE[9:]],
+                "parts": [OTHER[:30], OTHER[30:] + COMPLETE[:9], COMPLETE[9:]],
                 "body": b"whole",
-                "kept": False,
+                "reusable": False,
             },
         ),
         (
             "unframed and ended",
-            {"parts": [OK + ID + b"\r\nwhole", DONE], "body": b"whole", "kept": False},
+            {
+                "parts": [OK + ID + b"\r\nwhole", DONE],
+                "body": b"whole",
+                "reusable": False,
+            },
         ),
         (
             "unframed and reset",
-            {"parts": [OK + ID + b"\r\nwhole", RESET], "loss": Loss.CLOSED},
+            {"parts": [OK + ID + b"\r\nwhole", RESET], "loss": LossReason.CLOSED},
+        ),
+        ("cut off", {"parts": [COMPLETE[:-1], DONE], "loss": LossReason.CLOSED}),
+        ("no answer", {"parts": [RESET], "loss": LossReason.CLOSED}),
+        (
+            "no HTTP",
+            {"parts": [b"\0\1\2 garbage\r\n\r\n"], "loss": LossReason.MALFORMED},
         ),
-        ("cut off", {"parts": [WHOLE[:-1], DONE], "loss": Loss.CLOSED}),
-        ("no answer", {"parts": [RESET], "loss": Loss.CLOSED}),
-        ("no HTTP", {"parts": [b"\0\1\2 garbage\r\n\r\n"], "loss": Loss.GARBLED}),
         (
-            "only others' answers",
-            {"parts": [OTHER + OTHER + OTHER], "loss": Loss.GARBLED},
+            "only answers to other requests",
+            {"parts": [OTHER + OTHER + OTHER], "loss": LossReason.MALFORMED},
         ),
     ]
     parts = ()
     body = None
-    kept = False
+    reusable = False
     loss = None
 
     def test_answer(self):
@@ -125,44 +132,44 @@
             self.assertEqual(self.loss, result.value.loss)
         else:
             self.assertEqual(self.body, result.body)
-        self.assertEqual(self.kept, bool(exchange.freed))
-        self.assertEqual(self.kept, exchange.connection.usable)
+        self.assertEqual(self.reusable, bool(exchange.idle))
+        self.assertEqual(self.reusable, exchange.connection.usable)
 
 
 class ReuseTest(TestCase):
-    """Guards against bytes of an earlier request in a later one's answer."""
+    """Guards against bytes of an earlier answer in a later one."""
 
     def test_second_request_gets_its_own_answer(self):
         exchange = Exchange()
-        exchange.connection.dataReceived(WHOLE)
+        exchange.connection.dataReceived(COMPLETE)
         exchange.send(b"b2")
         exchange.connection.dataReceived(OTHER)
         self.assertEqual([b"whole", b"other"], [r.body for r in exchange.results])
 
-    def test_bytes_while_idle_end_the_connection(self):
+    def test_bytes_while_idle_close_the_connection(self):
         exchange = Exchange()
-        exchange.connection.dataReceived(WHOLE)
+        exchange.connection.dataReceived(COMPLETE)
         exchange.connection.dataReceived(b"H")
         self.assertFalse(exchange.connection.usable)
 
-    def test_cancelled_request_ends_the_connection(self):
+    def test_cancelled_request_closes_the_connection(self):
         exchange = Exchange()
         waiting = exchange.connection.waiting
         waiting.cancel()
         self.assertTrue(exchange.transport.disconnecting)
-        self.assertEqual(Loss.ABORTED, exchange.results[0].value.loss)
+        self.assertEqual(LossReason.ABORTED, exchange.results[0].value.loss)
 
 
-class SilenceTest(TestWithScenarios, TestCase):
-    """Guards against requests that wait on a server without power until their end."""
+class UnacknowledgedTest(TestWithScenarios, TestCase):
+    """Guards against requests that wait until the deadline for a dead server."""
 
     scenarios = [
-        ("nothing acknowledged", {"loss": Loss.SILENT}),
-        ("reset at once", {"after_s": 0.1, "loss": Loss.CLOSED}),
-        ("a part had arrived", {"received": OK, "loss": Loss.CLOSED}),
-        ("closed by the server", {"reason": DONE, "loss": Loss.CLOSED}),
+        ("nothing acknowledged", {"loss": LossReason.UNACKNOWLEDGED}),
+        ("reset at once", {"after_s": 0.1, "loss": LossReason.CLOSED}),
+        ("part of the answer had arrived", {"received": OK, "loss": LossReason.CLOSED}),
+        ("closed by the server", {"reason": DONE, "loss": LossReason.CLOSED}),
     ]
-    after_s = SILENT_AFTER_MS / 1000
+    after_s = ACK_TIMEOUT_MS / 1000
     received = b""
     reason = RESET
 
--- a/ebonybend/platform/__main__.py
+++ b/ebonybend/platform/__main__.py
@@ -8,7 +8,7 @@
 from ebonybend.loop import install_reactor
 from ebonybend.platform.settings import read_settings, settings_path
 
-# Port of the metrics unless the variable names another; deploy/system.toml names it.
+# Default port of the metrics; also in deploy/system.toml.
 METRICS_PORT = "9464"
 METRICS_PORT_VARIABLE = "EBONYBEND_METRICS_PORT"
 EXIT_BAD_SETTING = 2
@@ -27,7 +27,7 @@
 
         from ebonybend.http_client import HttpClient
         from ebonybend.node.service import NodeService
-        from ebonybend.platform.calls import PlatformWire
+        from ebonybend.platform.calls import PlatformWireFormat
         from ebonybend.platform.documents import PlatformDocuments
         from ebonybend.platform.store import PlatformStore
 
@@ -36,7 +36,7 @@
             reactor,
             settings,
             PlatformStore(http, settings.store_address),
-            PlatformWire(),
+            PlatformWireFormat(),
             PlatformDocuments(),
             int(os.environ.get(METRICS_PORT_VARIABLE, METRICS_PORT)),
             lambda: read_settings(path),
--- a/ebonybend/platform/documents.py
+++ b/ebonybend/platform/documents.py
@@ -5,7 +5,7 @@
 from ebonybend.codec import from_json, to_json
 from ebonybend.errors import SteeringError
 from ebonybend.node.members import Member
-from ebonybend.node.wire import KeptState
+from ebonybend.node.wire import RegionCheckpoint
 from ebonybend.store.client import StoredObject
 from ebonybend.world import BackendServer, LifeState
 from ebonybend.world.route import (
@@ -20,14 +20,14 @@
 CONFIG_NAME = "main"
 SERVERS_KIND = "servers"
 EVACUATIONS_KIND = "evacuations"
-# A kind of this project: one object for each node.
+# A kind that this project defines: one object for each node.
 MEMBERS_KIND = "ebonybend-nodes"
-# A kind of this project: one object for each region.
-KEPT_KIND = "ebonybend-kept"
+# A kind that this project defines: one checkpoint for each region.
+CHECKPOINT_KIND = "ebonybend-kept"
 
 MS_PER_S = 1000.0
-SAFE = "safe"
-STATES = {"ready": LifeState.LIVE, "draining": LifeState.LEAVING}
+IDEMPOTENT_KIND = "safe"
+LIFE_STATES = {"ready": LifeState.LIVE, "draining": LifeState.LEAVING}
 
 
 @frozen
@@ -47,7 +47,7 @@
     Priority: int = 0
     Sticky: bool = False
     Service: str = ""
-    # A list of services with weights, in place of Service.
+    # Weighted services, in place of Service.
     Backends: list[_Backend] = field(factory=list)
     HomeRegions: list[str] = field(factory=list)
 
@@ -91,14 +91,14 @@
 class _ServerInfo:
     Service: str
     Zone: str
-    # Requests that the server runs at the same time.
+    # Number of requests that the server runs concurrently.
     MaxConcurrency: int
 
 
 @frozen
 class _ServerStatus:
     State: str
-    # Time for which the server stays cold, counted from the report.
+    # Remaining time for which the server is cold, at the time of the report.
     WarmupLeftMs: float = 0.0
 
 
@@ -106,9 +106,9 @@
 class _ServerSpec:
     Addr: str
     Info: _ServerInfo
-    # What the server reports; the object's own Status stays empty.
+    # Reported by the server; the object's own Status stays empty.
     Status: _ServerStatus
-    # Start of the process in Unix milliseconds.
+    # Unix time of the process start in milliseconds.
     born: int = 0
 
 
@@ -123,17 +123,17 @@
 
 
 @frozen
-class _KeptObject:
-    Spec: KeptState
+class _CheckpointObject:
+    Spec: RegionCheckpoint
 
 
-def _route(host: str, path: _Path) -> Route:
+def _decode_route(host: str, path: _Path) -> Route:
     parts = tuple(RoutePart(part.Service, part.Weight) for part in path.Backends)
     return Route(
         name=path.Name,
         host=host.lower(),
         prefix=path.PathPrefix,
-        idempotent=path.Kind == SAFE,
+        idempotent=path.Kind == IDEMPOTENT_KIND,
         parts=parts or (RoutePart(path.Service, 1.0),),
         max_sends=max(path.MaxAttempts, 1),
         timeout_s=path.TimeoutMs / MS_PER_S,
@@ -145,17 +145,17 @@
 
 
 class PlatformDocuments:
-    """The kinds of objects in the store, and their formats."""
+    """The platform's kinds of stored objects, and their formats."""
 
     config_kind = CONFIG_KIND
     config_name = CONFIG_NAME
     servers_kind = SERVERS_KIND
     evacuations_kind = EVACUATIONS_KIND
     members_kind = MEMBERS_KIND
-    kept_kind = KEPT_KIND
+    checkpoint_kind = CHECKPOINT_KIND
 
     def decode_config(self, stored: StoredObject) -> RoutingConfig | None:
-        """Return the routing that an object holds, or None if it can't be read."""
+        """Return the routing configuration, or None if it can't be decoded."""
         try:
             config = from_json(bytes(stored.value), _ConfigObject).Spec
         except SteeringError:
@@ -163,7 +163,7 @@
         return RoutingConfig(
             config.Version,
             tuple(
-                _route(host.Host, path)
+                _decode_route(host.Host, path)
                 for host in config.VirtualHosts
                 for path in host.Paths
             ),
@@ -182,13 +182,13 @@
     def decode_server(
         self, stored: StoredObject, regions: dict[str, str]
     ) -> BackendServer | None:
-        """Return a server, or None if the entry names none that can be used."""
+        """Return a server, or None if the entry describes no usable one."""
         try:
             spec = from_json(bytes(stored.value), _ServerObject).Spec
         except SteeringError:
             return None
         info, status = spec.Info, spec.Status
-        state = STATES.get(status.State)
+        state = LIFE_STATES.get(status.State)
         host, _, port = spec.Addr.rpartition(":")
         if state is None or not host or not port.isdigit() or info.MaxConcurrency < 1:
             return None
@@ -205,23 +205,23 @@
         )
 
     def decode_member(self, stored: StoredObject) -> Member | None:
-        """Return a node's own entry, or None if it can't be read."""
+        """Return a node's own entry, or None if it can't be decoded."""
         try:
             return from_json(bytes(stored.value), _MemberObject).Spec
         except SteeringError:
             return None
 
     def encode_member(self, member: Member) -> bytes:
-        """Return the value of a node's own entry."""
+        """Return the encoded entry of a node."""
         return to_json(member)
 
-    def decode_kept(self, stored: StoredObject) -> KeptState | None:
-        """Return what a region's nodes keep, or None if it can't be read."""
+    def decode_checkpoint(self, stored: StoredObject) -> RegionCheckpoint | None:
+        """Return a region's checkpoint, or None if it can't be decoded."""
         try:
-            return from_json(bytes(stored.value), _KeptObject).Spec
+            return from_json(bytes(stored.value), _CheckpointObject).Spec
         except SteeringError:
             return None
 
-    def encode_kept(self, state: KeptState) -> bytes:
-        """Return the value of what a region's nodes keep."""
-        return to_json(state)
+    def encode_checkpoint(self, checkpoint: RegionCheckpoint) -> bytes:
+        """Return an encoded checkpoint."""
+        return to_json(checkpoint)
--- a/ebonybend/platform/store.py
+++ b/ebonybend/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store of objects."""
+"""A client of the platform's object store."""
 
 from urllib.parse import quote
 
@@ -21,15 +21,15 @@
     store_result,
 )
 
-# A list longer than this is read in pages; the store pages at about 500 objects.
-MOST_PAGES = 10_000
-# Answers that state that the call was not carried out.
+# Limit on the pages of one list; the store puts about 500 objects on a page.
+MAX_PAGES = 10_000
+# Statuses that state that the call was not carried out.
 REFUSALS = frozenset({429, 503})
 
 
 @frozen
 class _Metadata:
-    """The part of an object that the store itself writes."""
+    """The part of an object that the store writes."""
 
     Name: str
     # Revision of the object's last change.
@@ -46,7 +46,7 @@
 
 @frozen
 class _Page:
-    """The answer to a list."""
+    """One page of the answer to a list."""
 
     StoreRevision: int
     items: list[Raw] = field(factory=list)
@@ -82,54 +82,57 @@
         items: list[StoredObject] = []
         revision: int | None = None
         path = f"/objects/{quote(kind, safe='')}"
-        after = ""
-        for _ in range(MOST_PAGES):
-            answer = await self._call("GET", path + after)
+        cursor = ""
+        for _ in range(MAX_PAGES):
+            answer = await self._call("GET", path + cursor)
             page = answer.bind(lambda body: decode_answer(body, _Page))
             if not isinstance(page, Success):
                 return Failure(page.failure())
             found = page.unwrap()
-            # Changes between two pages are read again by the watch that follows.
+            # The first revision; the next watch reads changes made between two pages.
             if revision is None:
                 revision = found.StoreRevision
-            items += [stored for raw in found.items if (stored := _stored(raw))]
+            items += [stored for raw in found.items if (stored := _decode_object(raw))]
             if not found.HasMore or not items:
                 return Success(ObjectList(revision, tuple(items)))
-            after = f"?after={quote(items[-1].name, safe='')}"
-        message = f"list of {kind!r} has more than {MOST_PAGES} pages"
+            cursor = f"?after={quote(items[-1].name, safe='')}"
+        message = f"list of {kind!r} has more than {MAX_PAGES} pages"
         return Failure(StoreFailure(StoreFailureKind.REJECTED, message))
 
     async def get(self, kind: str, name: str) -> Result[StoredObject, StoreFailure]:
         """Return one object."""
         answer = await self._call("GET", _path(kind, name))
-        return answer.bind(_decode_stored)
+        return answer.bind(_decode_body)
 
     async def put(
         self, kind: str, name: str, value: bytes, version: int
     ) -> Result[int, StoreFailure]:
-        """Write a spec if the object has a version (0: doesn't exist)."""
+        """Write a spec if the object has a version; return the new one.
+
+        Version 0 states that the object doesn't exist.
+        """
         if version == 0:
             method, path = "POST", f"/objects/{quote(kind, safe='')}"
-            head = b'{"Metadata":{"Name":%s},"Spec":' % to_json(name)
+            prefix = b'{"Metadata":{"Name":%s},"Spec":' % to_json(name)
         else:
             method, path = "PUT", _path(kind, name)
-            head = b'{"Metadata":{"Name":%s,"Rev":%d},"Spec":' % (
+            prefix = b'{"Metadata":{"Name":%s,"Rev":%d},"Spec":' % (
                 to_json(name),
                 version,
             )
-        answer = await self._call(method, path, head + value + b"}")
-        return answer.bind(_decode_stored).map(lambda stored: stored.version)
+        answer = await self._call(method, path, prefix + value + b"}")
+        return answer.bind(_decode_body).map(lambda stored: stored.version)
 
     async def delete(
         self, kind: str, name: str, version: int
     ) -> Result[bytes, StoreFailure]:
-        """Remove an object if it has a version."""
+        """Delete an object if it has a version."""
         return await self._call("DELETE", f"{_path(kind, name)}?Rev={version}")
 
     async def watch(
         self, kind: str, since: int, timeout_ms: int
     ) -> Result[ObjectList, StoreFailure]:
-        """Return the objects changed since a revision, or none after the time-out."""
+        """Return the objects changed since a revision, or none after the timeout."""
         path = f"/objects/{quote(kind, safe='')}?Watch={since}&WaitMs={timeout_ms}"
         timeout = timeout_ms / 1000 + WATCH_MARGIN_S
         answer = await self._call("GET", path, timeout=timeout)
@@ -143,21 +146,21 @@
         request = self.http.request(
             method, self.address, path, headers, body, timeout, MAX_ANSWER_BYTES
         )
-        return await store_result(request, _failure)
+        return await store_result(request, _decode_failure)
 
 
-def _failure(answer: HttpAnswer) -> StoreFailure:
+def _decode_failure(answer: HttpAnswer) -> StoreFailure:
     message = f"the store answered {answer.status}"
     if answer.status == 404:
         return StoreFailure(StoreFailureKind.NOT_FOUND, message)
     if answer.status == 409:
-        current = _decode_stored(answer.body).value_or(None)
+        current = _decode_body(answer.body).value_or(None)
         return StoreFailure(StoreFailureKind.CONFLICT, message, current)
     if answer.status in REFUSALS:
         return StoreFailure(StoreFailureKind.UNAVAILABLE, message)
     if answer.status >= 500:
         return StoreFailure(StoreFailureKind.ANSWER_LOST, message)
-    # Includes 410: the history since the given revision is gone.
+    # Includes 410: the store no longer has the history since the given revision.
     return StoreFailure(StoreFailureKind.REJECTED, message)
 
 
@@ -165,8 +168,8 @@
     return f"/objects/{quote(kind, safe='')}/{quote(name, safe='')}"
 
 
-def _stored(raw: Raw, deleted: bool = False) -> StoredObject | None:
-    """Return an object, or None if its name and revision can't be read."""
+def _decode_object(raw: Raw, deleted: bool = False) -> StoredObject | None:
+    """Return an object, or None if its name or revision can't be decoded."""
     try:
         metadata = from_json(bytes(raw), _Head).Metadata
     except SteeringError:
@@ -174,8 +177,8 @@
     return StoredObject(metadata.Name, metadata.Rev, raw, deleted)
 
 
-def _decode_stored(body: bytes) -> Result[StoredObject, StoreFailure]:
-    stored = _stored(Raw(body))
+def _decode_body(body: bytes) -> Result[StoredObject, StoreFailure]:
+    stored = _decode_object(Raw(body))
     if stored is None:
         message = "the store's answer is no object"
         return Failure(StoreFailure(StoreFailureKind.ANSWER_LOST, message))
@@ -187,6 +190,6 @@
     if not isinstance(decoded, Success):
         return decoded
     changes = decoded.unwrap()
-    found = (_stored(event.Object, event.Deleted) for event in changes.events)
+    found = (_decode_object(event.Object, event.Deleted) for event in changes.events)
     items = tuple(stored for stored in found if stored is not None)
     return Success(ObjectList(changes.StoreRevision, items))
--- a/ebonybend/platform/tests/test_formats.py
+++ b/ebonybend/platform/tests/test_formats.py
@@ -10,7 +10,7 @@
 from ebonybend.errors import ErrorKind, SteeringError
 from ebonybend.node.members import Member
 from ebonybend.node.wire import ClientHeaders, ServerLoad
-from ebonybend.platform.calls import PlatformWire
+from ebonybend.platform.calls import PlatformWireFormat
 from ebonybend.platform.documents import PlatformDocuments
 from ebonybend.platform.settings import decode_bounds, read_settings
 from ebonybend.store.client import StoredObject
@@ -50,7 +50,7 @@
 
 
 class ServerEntryTest(TestWithScenarios, TestCase):
-    """Guards against an entry of another writer that stops the node or is used."""
+    """Guards against a malformed entry that stops the node or is used."""
 
     scenarios = [
         ("whole", {"spec": SERVER, "state": LifeState.LIVE}),
@@ -80,7 +80,7 @@
 
 
 class ConfigTest(TestCase):
-    """Guards against a configuration that is read as another."""
+    """Guards against a configuration that is decoded wrongly."""
 
     def test_decode(self):
         path = {
@@ -120,33 +120,33 @@
 
 
 class HeadersTest(TestWithScenarios, TestCase):
-    """Guards against a request without id, or with a bad deadline, that is sent on."""
+    """Guards against forwarding a request without an id or with a bad deadline."""
 
     scenarios = [
         (
             "whole",
             {
                 "raw": {"Attempt-Id": "a", "Deadline-Ms": "1200", "Affinity-Key": "17"},
-                "told": ClientHeaders(b"a", 1.2, b"17"),
+                "expected": ClientHeaders(b"a", 1.2, b"17"),
             },
         ),
-        ("no deadline", {"raw": {"Attempt-Id": "a"}, "told": (b"a", None, b"")}),
-        ("no id", {"raw": {"Deadline-Ms": "5"}, "told": None}),
+        ("no deadline", {"raw": {"Attempt-Id": "a"}, "expected": (b"a", None, b"")}),
+        ("no id", {"raw": {"Deadline-Ms": "5"}, "expected": None}),
         ("bad deadline", {"raw": {"Attempt-Id": "a", "Deadline-Ms": "x"}}),
     ]
-    told = None
+    expected = None
 
     def test_read(self):
         headers = Headers({name: [value] for name, value in self.raw.items()})
-        told = PlatformWire().read_client_headers(headers)
-        expected = self.told
+        decoded = PlatformWireFormat().read_client_headers(headers)
+        expected = self.expected
         if isinstance(expected, tuple):
             expected = ClientHeaders(*expected)
-        self.assertEqual(expected, told)
+        self.assertEqual(expected, decoded)
 
 
 class LoadTest(TestWithScenarios, TestCase):
-    """Guards against a malformed load report that is taken for a load."""
+    """Guards against using a malformed load report."""
 
     scenarios = [
         ("whole", {"text": "3,0,8", "load": ServerLoad(3, 0, 8)}),
@@ -156,7 +156,7 @@
 
     def test_read(self):
         headers = Headers({"Server-Load": [self.text]})
-        self.assertEqual(self.load, PlatformWire().read_load(headers))
+        self.assertEqual(self.load, PlatformWireFormat().read_load(headers))
 
 
 class NotRunTest(TestWithScenarios, TestCase):
@@ -170,12 +170,12 @@
     ]
 
     def test_states_not_run(self):
-        found = PlatformWire().states_not_run(self.status, Headers(self.raw))
+        found = PlatformWireFormat().states_not_run(self.status, Headers(self.raw))
         self.assertEqual(self.not_run, found)
 
 
 class SettingsTest(TestWithScenarios, TestCase):
-    """Guards against a start with settings that are wrong, without a clear error."""
+    """Guards against wrong settings that don't cause a clear error."""
 
     scenarios = [
         ("whole", {"text": SETTINGS, "error": None}),
