--- a/ebonybend/rules/check.py
+++ b/ebonybend/rules/check.py
@@ -1,4 +1,4 @@
-"""Check rules against the deployment that they would steer."""
+"""Check rules against the deployment that they apply to."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -26,10 +26,10 @@
     servers: tuple[BackendServer, ...],
     now: float | None = None,
 ) -> tuple[RuleError, ...]:
-    """Return what is wrong with rules for a deployment, in the order of lines.
+    """Return the errors of rules for a deployment, in the order of lines.
 
-    Names of backend servers are not checked when no servers are given. The time is in
-    seconds since the epoch; without one the machine's time is taken.
+    Names of backend servers are not checked when no servers are given. `now` is in
+    seconds since the epoch; it defaults to the system's time.
     """
     rules = tuple(rules)
     moment = time() if now is None else now
@@ -105,12 +105,12 @@
 
 
 def _known_names(known: list[str]) -> str:
-    # A long list hides the message, and one of these names is rarely meant.
+    # A long list hides the message and rarely contains the intended name.
     return f"; known: {', '.join(sorted(known))}" if 0 < len(known) <= 20 else ""
 
 
 def _check_shares(rules: tuple[Rule, ...]) -> list[RuleError]:
-    """Return an error for each shift that raises a sum of shares above 100%."""
+    """Return an error for each shift that raises the sum of shares above 100%."""
     totals: defaultdict[tuple[str, str], int] = defaultdict(int)
     errors = []
     for rule in rules:
--- a/ebonybend/rules/compile.py
+++ b/ebonybend/rules/compile.py
@@ -12,7 +12,7 @@
 def compile_rules(text: str, now: float) -> tuple[Rule, ...]:
     """Return the rules whose end has not passed at a time since the epoch.
 
-    Lines with errors are left out rather than raised: a text that an earlier version
-    accepted stays in force as far as this version can read it.
+    Lines with errors are skipped, so that a text that an earlier version accepted stays
+    in force as far as this version can parse it.
     """
     return tuple(rule for rule in parse_text(text).rules if not is_over(rule, now))
--- a/ebonybend/rules/diff.py
+++ b/ebonybend/rules/diff.py
@@ -1,4 +1,4 @@
-"""Compare two rules texts for people."""
+"""Describe the differences between two rules texts in readable lines."""
 
 from ebonybend.rules.model import Rule
 from ebonybend.rules.parse import parse_text
--- a/ebonybend/rules/edit.py
+++ b/ebonybend/rules/edit.py
@@ -41,7 +41,7 @@
 def remove_rule(text: str, rule_text: str) -> Result[str, SteeringError]:
     """Return the text without a rule and its comment.
 
-    The rule is found by what it is about, so its figures and its end may differ.
+    The rule is matched by its identifying arguments; its numbers and end may differ.
     """
     wanted = parse_rule(rule_text)
     if isinstance(wanted, Failure):
--- a/ebonybend/rules/model.py
+++ b/ebonybend/rules/model.py
@@ -32,18 +32,18 @@
     target: str
     # Fraction of the requests that arrive in the source region, 0 to 1.
     share: float
-    # Most requests moved in any window of one second, over all senders.
+    # Maximum number of requests moved in any window of one second, over all senders.
     cap_per_second: int
 
 
 @frozen(kw_only=True)
 class CapRule:
-    """Bound all traffic steered from one region to another."""
+    """Limit all traffic steered from one region to another."""
 
     source: str
     target: str
     service: str | None = None
-    # Most requests in any window of one second, over all senders.
+    # Maximum number of requests in any window of one second, over all senders.
     cap_per_second: int
 
 
@@ -86,7 +86,7 @@
 
 @frozen(kw_only=True)
 class Rule:
-    """One rule with its place in the file, its author and its reason."""
+    """One rule with its line in the file, its author and its reason."""
 
     line: int
     author: str
--- a/ebonybend/rules/parse.py
+++ b/ebonybend/rules/parse.py
@@ -16,7 +16,7 @@
     rule_key,
 )
 
-# A quarter of the platform's largest value; the object holds recent changes too.
+# A quarter of the platform's largest value; the object also holds recent changes.
 MAX_RULES_BYTES = 256 << 10
 COMMENT_FORM = "# <who>: <why>"
 
@@ -28,7 +28,7 @@
 
 @frozen
 class Comment:
-    """Who asked for a rule, and why."""
+    """The author of a rule, and the reason for it."""
 
     author: str
     reason: str
@@ -36,7 +36,7 @@
 
 @frozen
 class ParsedText:
-    """The rules that are free of errors, and the errors."""
+    """The valid rules of a text, and its errors."""
 
     rules: tuple[Rule, ...]
     errors: tuple[RuleError, ...]
@@ -64,7 +64,7 @@
 
 
 def parse_text(text: str) -> ParsedText:
-    """Return what can be read of a text, and its errors."""
+    """Return the valid rules of a text, and its errors."""
     size = len(text.encode("utf-8", "replace"))
     if size > MAX_RULES_BYTES:
         message = f"the text has {size} bytes; at most {MAX_RULES_BYTES} are allowed"
@@ -87,7 +87,7 @@
 
 
 def parse_rule(line: str) -> Result[Rule, tuple[RuleError, ...]]:
-    """Return one rule that is written without its comment, as line 1."""
+    """Parse one rule that is written without its comment, as line 1."""
     found = _unprintable(1, line) or _parse_words(1, line)
     return Success(found) if isinstance(found, Rule) else Failure(tuple(found))
 
@@ -112,7 +112,7 @@
 
 
 def _unprintable(number: int, line: str) -> list[RuleError]:
-    """Return an error for the first character that a reader can't see."""
+    """Return an error for the first unprintable character other than a tab."""
     for column, character in enumerate(line, 1):
         if character != "\t" and not character.isprintable():
             message = f"character U+{ord(character):04X} is not allowed"
@@ -178,7 +178,7 @@
 
 
 def _missing(number: int, column: int, kind: str, line: str) -> list[RuleError]:
-    """Return an error for each argument that the line doesn't mention."""
+    """Return an error for each required argument that the line lacks."""
     keys = {word.partition("=")[0] for word in line.split()}
     return [
         RuleError(number, column, f"{kind} needs {argument.key}=")
@@ -188,7 +188,7 @@
 
 
 def _contradiction(rule: Rule, earlier: list[Rule]) -> RuleError | None:
-    """Return an error if an earlier rule is about the same thing."""
+    """Return an error if a rule repeats or contradicts an earlier one."""
     key = rule_key(rule.body)
     for other in earlier:
         if other.text == rule.text:
@@ -204,7 +204,7 @@
 
 
 def _reverses(body: RuleBody, other: RuleBody) -> bool:
-    """Return whether two shifts would send the same requests to and fro."""
+    """Return whether two shifts move a service's requests in opposite directions."""
     return (
         isinstance(body, ShiftRule)
         and isinstance(other, ShiftRule)
--- a/ebonybend/rules/syntax.py
+++ b/ebonybend/rules/syntax.py
@@ -10,7 +10,7 @@
 
 from ebonybend.rules.model import RULE_KINDS, DrainRule, RuleBody
 
-# Fixed resolutions, so that a value's text form gives back the same value.
+# Fixed resolutions, so that writing and reading a value returns the same value.
 WEIGHT_STEPS = 10_000
 SHARE_STEPS = 10_000
 MAX_RATE = 1_000_000_000
@@ -27,7 +27,7 @@
 
 
 def read_name(text: str) -> str:
-    """Return a name in Unicode's composed form; raise ValueError if it's bad."""
+    """Return a name in Unicode's composed form; raise ValueError if it's invalid."""
     # Editors write "á" as one or as two code points; names are compared as one.
     name = normalize("NFC", text)
     if not _NAME.fullmatch(name) or len(name) > MAX_NAME_LENGTH:
@@ -36,7 +36,7 @@
 
 
 def read_weight(text: str) -> float:
-    """Return a weight; raise ValueError if it's bad."""
+    """Return a weight; raise ValueError if it's invalid."""
     steps = _steps(text, WEIGHT_STEPS) if _WEIGHT.fullmatch(text) else -1
     if not 0 <= steps <= WEIGHT_STEPS:
         raise ValueError("expected a number from 0 to 1 with at most 4 decimals")
@@ -44,7 +44,7 @@
 
 
 def read_share(text: str) -> float:
-    """Return a percentage as a fraction; raise ValueError if it's bad."""
+    """Return a percentage as a fraction; raise ValueError if it's invalid."""
     steps = _steps(text[:-1], 100) if _SHARE.fullmatch(text) else 0
     if not 0 < steps <= SHARE_STEPS:
         raise ValueError("expected a share above 0% and up to 100%, for example 30%")
@@ -52,7 +52,7 @@
 
 
 def read_rate(text: str) -> int:
-    """Return requests per second; raise ValueError if it's bad."""
+    """Return requests per second; raise ValueError if it's invalid."""
     match = _RATE.fullmatch(text)
     if match is None or int(match[1]) > MAX_RATE:
         raise ValueError("expected a whole number per second, for example 20/s")
@@ -60,28 +60,28 @@
 
 
 def read_path(text: str) -> str:
-    """Return a path prefix; raise ValueError if it's bad."""
+    """Return a path prefix; raise ValueError if it's invalid."""
     if not text.startswith("/") or not text.isascii():
         raise ValueError('expected a path in ASCII that starts with "/"')
     return text
 
 
 def read_method(text: str) -> str:
-    """Return an HTTP method; raise ValueError if it's bad."""
+    """Return an HTTP method; raise ValueError if it's invalid."""
     if not _METHOD.fullmatch(text):
         raise ValueError("expected an HTTP method in capitals, for example GET")
     return text
 
 
 def read_fingerprint(text: str) -> str:
-    """Return a request fingerprint; raise ValueError if it's bad."""
+    """Return a request fingerprint; raise ValueError if it's invalid."""
     if not _FINGERPRINT.fullmatch(text):
         raise ValueError("expected 32 hexadecimal digits in lower case")
     return text
 
 
 def read_time(text: str) -> float:
-    """Return a time in seconds since the epoch; raise ValueError if it's bad."""
+    """Return a time in seconds since the epoch; raise ValueError if it's invalid."""
     problem = "expected a time in UTC, for example 2026-12-31T00:00:00Z"
     if not _TIME.fullmatch(text):
         raise ValueError(problem)
@@ -100,7 +100,7 @@
 
 
 def _steps(text: str, steps_per_unit: int) -> int:
-    """Return a decimal number in steps; the caller has checked its form."""
+    """Return a decimal number in steps; its format was checked before."""
     return round(float(text) * steps_per_unit)
 
 
@@ -131,8 +131,8 @@
     read: Callable[[str], Any]
     write: Callable[[Any], str] = str
     required: bool = True
-    # Whether the argument tells which thing the rule is about; two rules of a kind
-    # that agree in all of these arguments contradict each other.
+    # Whether the argument identifies what the rule applies to. Two rules of a kind that
+    # agree in all identifying arguments contradict each other.
     identifies: bool = True
 
 
@@ -173,12 +173,12 @@
 
 
 def kind_of(body: RuleBody) -> str:
-    """Return the word that starts a rule."""
+    """Return the keyword that starts a rule."""
     return _KIND_NAMES[type(body)]
 
 
 def build_body(kind: str, values: dict[str, Any]) -> RuleBody:
-    """Return a rule's body; raise ValueError if its arguments don't fit together."""
+    """Return a rule's body; raise ValueError if its arguments are inconsistent."""
     if kind == "drain":
         if len(values) != 1:
             raise ValueError("drain needs one of instance= and backend=")
@@ -208,7 +208,7 @@
 
 
 def canonical_text(body: RuleBody, until: float | None = None) -> str:
-    """Return the one text form of a rule, without its comment."""
+    """Return the canonical text form of a rule, without its comment."""
     words = _words(body, only_identifying=False)
     if until is not None:
         words.append(f"until={write_time(until)}")
@@ -216,5 +216,5 @@
 
 
 def rule_key(body: RuleBody) -> str:
-    """Return the text that stays the same when a rule's figures or end change."""
+    """Return the kind and identifying arguments of a rule, without numbers and end."""
     return " ".join(_words(body, only_identifying=True))
--- a/ebonybend/rules/tests/strategies.py
+++ b/ebonybend/rules/tests/strategies.py
@@ -1,4 +1,4 @@
-"""Strategies for rules and for texts that look like rules."""
+"""Hypothesis strategies for rules and for texts that look like rules."""
 
 from hypothesis.strategies import (
     builds,
--- a/ebonybend/rules/tests/test_check.py
+++ b/ebonybend/rules/tests/test_check.py
@@ -79,7 +79,7 @@
 
 
 class CompileTest(TestCase):
-    """Guards against rules in force after their end and against a lost old text."""
+    """Guards against rules in force after their end, and loss of an older text."""
 
     def test_rules_end_at_their_time(self):
         text = f"{WHY}drain backend=x until=2027-01-15T08:00:00Z\n"
--- a/ebonybend/rules/tests/test_edit.py
+++ b/ebonybend/rules/tests/test_edit.py
@@ -16,7 +16,7 @@
 
 
 class AddRemoveTest(TestCase):
-    """Guards against an edit that changes other lines or can't be taken back."""
+    """Guards against an edit that changes other lines or can't be undone."""
 
     @given(RULES)
     def test_added_rule_can_be_read_and_removed(self, rule):
--- a/ebonybend/rules/tests/test_parse.py
+++ b/ebonybend/rules/tests/test_parse.py
@@ -31,7 +31,7 @@
 
 
 class ErrorTest(TestWithScenarios, TestCase):
-    """Guards against accepting a faulty line or pointing at another place."""
+    """Guards against accepting a faulty line or reporting a wrong position."""
 
     scenarios = [
         ("no_comment", {"text": "drain backend=x", "at": (1, 1), "say": "comment"}),
--- a/ebonybend/steering/__init__.py
+++ b/ebonybend/steering/__init__.py
@@ -1,4 +1,4 @@
-"""Pure steering decisions; clocks and random sources are passed in.
+"""Steering decisions without I/O; clocks and random sources are passed in.
 
 Public names are imported on first use, so that a process loads only the modules that it
 needs: a node on the platform starts with half of them.
--- a/ebonybend/steering/admission.py
+++ b/ebonybend/steering/admission.py
@@ -10,7 +10,7 @@
 # Slow start adds a slot at least this often, so that an idle server is fully usable
 # after about a second.
 SLOW_START_STEP_S = 0.25
-# After a shed the limit grows by one in each period of this length.
+# After a shed request the limit grows by one in each period of this length.
 BACK_OFF_STEP_S = 1.0
 # Failures lose half of their weight in this time, so that a server is tried again.
 FAILURE_HALF_LIFE_S = 3.0
@@ -30,7 +30,7 @@
 
 
 class ServerGate:
-    """What reduces the limit on one backend server."""
+    """What reduces the in-flight limit of one backend server."""
 
     __slots__ = (
         "state",
@@ -44,17 +44,17 @@
 
     def __init__(self, now: float):
         self.state = ServerState.READY
-        # Start of the slow start, or None when it is over.
+        # Time when slow start began, or None when it is over.
         self.start_at: float | None = now
         self.successes = 0
-        # Time of the last shed, or None when the back-off is over.
+        # Time of the last shed request, or None when the back-off is over.
         self.back_off_at: float | None = None
         self.back_off_limit = 0
         self.failures = 0.0
         self.failed_at = now
 
     def restart(self, now: float) -> None:
-        """Begin a slow start."""
+        """Begin slow start."""
         self.start_at = now
         self.successes = 0
 
@@ -69,7 +69,7 @@
         self.drained: frozenset[str] = frozenset()
 
     def limit(self, server: str) -> int:
-        """Return the number of requests that may be in flight on a server."""
+        """Return the maximum number of requests in flight on a server."""
         owned = self.ledger.owned(server)
         if owned == 0 or server in self.drained:
             return 0
@@ -81,18 +81,18 @@
         return self._reduced_limit(server, gate, owned)
 
     def free(self, server: str) -> int:
-        """Return the number of requests that may be added on a server."""
+        """Return how many more requests a server may be sent now."""
         return max(0, self.limit(server) - self.ledger.in_flight(server))
 
     def start(self, server: str) -> bool:
-        """Take a slot of a server if one is free; return whether it was taken."""
+        """Acquire a slot of a server if one is free; return whether it was acquired."""
         if self.ledger.in_flight(server) >= self.limit(server):
             return False
         self.ledger.started(server)
         return True
 
     def finish(self, server: str, result: ServerResult, latency_s: float) -> None:
-        """Give a slot back and adapt the limit to the request's result."""
+        """Release a slot and adapt the server's limit to the request's result."""
         if result is ServerResult.SUCCESS:
             self._succeeded(server)
         elif result is ServerResult.SHED:
@@ -102,7 +102,7 @@
         self.ledger.finished(server)
 
     def set_state(self, server: str, state: ServerState) -> None:
-        """Set a server's state; one that becomes ready begins a slow start."""
+        """Set a server's state; begin slow start when it becomes ready."""
         gate = self._gate(server)
         if state is ServerState.READY and gate.state is not ServerState.READY:
             gate.restart(self.clock.monotonic())
@@ -116,7 +116,7 @@
         self.drained = drained
 
     def failures(self, server: str) -> float:
-        """Return the number of failures since the last success, less with age."""
+        """Return the number of failures since the last success, decayed by age."""
         gate = self.gates.get(server)
         if gate is None or not gate.failures:
             return 0.0
@@ -163,6 +163,6 @@
         gate = self._gate(server)
         gate.failures = self.failures(server) + 1
         gate.failed_at = self.clock.monotonic()
-        # A server that was lost comes back empty, so its caches are cold.
+        # A lost server restarts with cold caches.
         if result is not ServerResult.TIMEOUT:
             gate.restart(gate.failed_at)
--- a/ebonybend/steering/choice.py
+++ b/ebonybend/steering/choice.py
@@ -17,22 +17,22 @@
 DEVIATIONS = 2.0
 # Latency that is assumed while no candidate has been measured.
 UNMEASURED_LATENCY_S = 0.02
-# How much a full server counts against an idle one when headroom is all that counts.
-# With a larger factor the weights of a latency-first contract hardly show.
+# Factor on the latency of a full server when only headroom has weight. A larger one
+# would hide the weights of a contract that favours latency.
 USE_FACTOR = 4.0
-# Scores within this factor of the best are drawn from at random, so that the entries
-# of a domain don't all take the same server.
+# Servers with scores within this factor of the best are picked from at random, so that
+# the entries of a domain don't all choose the same server.
 NEAR_EQUAL = 1.05
 
-# A domain view older than this is used only when no other domain is left.
+# A domain with an older view is chosen only when no other domain is usable.
 LAST_RESORT_MS = 15_000.0
 # Latency that counts as 1 in the score of a domain.
 LATENCY_UNIT_MS = 100.0
 FIRST_WINDOW = 4.0
 LOWEST_WINDOW = 1.0
 HIGHEST_WINDOW = 1000.0
-# One burst of refusals counts once; refusals arrive a round trip after sending, which
-# is up to 110 ms between regions.
+# A burst of refusals halves the window once. Refusals arrive a round trip after
+# sending, which is up to 110 ms between regions.
 WINDOW_CUT_INTERVAL_S = 0.2
 
 
@@ -58,14 +58,15 @@
         self.admission = admission
         self.clock = clock
         self.random = random
-        # Moving average in seconds and time of the last measurement.
+        # Moving average of the latency in seconds, by server.
         self.latencies: dict[str, float] = {}
-        # Moving average of the distance from it.
+        # Moving average of the absolute difference from that average.
         self.deviations: dict[str, float] = {}
+        # Time of the last measurement.
         self.observed_at: dict[str, float] = {}
 
     def observe(self, server: str, latency_s: float) -> None:
-        """Take in the latency of an answer."""
+        """Add the latency of an answer to a server's averages."""
         known = self.latencies.setdefault(server, latency_s)
         deviation = self.deviations.setdefault(server, 0.0)
         change = latency_s - known
@@ -78,9 +79,9 @@
         return self.latencies.get(server, 0.0) * 1000
 
     def needed_s(self, server: str) -> float:
-        """Return the time that most answers take, 0 if none was measured lately."""
+        """Return the latency that few answers exceed, 0 if the last one is stale."""
         observed_at = self.observed_at.get(server)
-        # An old latency must not keep requests away that would measure a new one.
+        # A stale latency must not block the requests that would measure a new one.
         if observed_at is None or self._age_ms(observed_at) > FRESH_MS:
             return 0.0
         return self.latencies[server] + DEVIATIONS * self.deviations[server]
@@ -96,7 +97,7 @@
     ) -> ServerView | None:
         """Return a server with a free slot, or None if there is none.
 
-        The share of headroom in the contract's weights, 0 to 1, decides between a fast
+        Headroom's share of the contract's weights, 0 to 1, decides between a fast
         server and an idle one.
         """
         free = self._free(candidates, exclude)
@@ -164,7 +165,7 @@
         measured = [
             latencies[entry[0].name] for entry in entries if entry[0].name in latencies
         ]
-        # An unmeasured server counts as the fastest, so that it is tried.
+        # An unmeasured server is scored as the fastest, so that it receives requests.
         unmeasured = min(measured, default=UNMEASURED_LATENCY_S)
         weights = self._weights(entries)
         failures_of = self.admission.failures
@@ -189,7 +190,7 @@
             return [1.0] * len(entries)
         now = self.clock.monotonic()
         weights = [self._weight(entry[0], now) for entry in entries]
-        # When all measurements stop at once, the fault is the observer's.
+        # If the measurements of all servers are stale, the fault is in this process.
         if max(weights) < 1.0:
             return [1.0] * len(entries)
         return weights
@@ -204,21 +205,21 @@
 
 @frozen
 class DomainOption:
-    """A failure domain that can answer a service, as last described."""
+    """A failure domain that serves a service, as last reported."""
 
     domain: str
     one_way_latency_ms: float
     service_latency_ms: float
     slots: int
     in_flight: int
-    # Use of the link to the domain's region, 0 to 1; 0 inside the own region.
+    # Utilisation of the link to the domain's region, 0 to 1; 0 in the local region.
     link_utilisation: float = 0.0
     age_ms: float = 0.0
 
 
 @frozen
 class DomainQuery:
-    """A request's service with the domains and weights to choose by."""
+    """A request's service, the domains to choose from and the weights of the scores."""
 
     service: str
     own_domain: str
@@ -239,7 +240,7 @@
     headroom_part: float
     age_ms: float
     in_flight: int
-    # Most requests that this entry may have in flight there; 0 for no limit.
+    # Maximum number of this entry's requests in flight there; 0 for no limit.
     window: int
     usable: bool
     # Why it is not usable, or an empty string.
@@ -247,7 +248,7 @@
 
 
 class DomainWindow:
-    """How many requests an entry may have in flight in another domain."""
+    """An entry's requests in flight in another domain, and the limit on them."""
 
     __slots__ = ("size", "in_flight", "cut_at")
 
@@ -278,20 +279,20 @@
         return tuple(sorted(scores, key=lambda s: self._order(query, s)))
 
     def started(self, domain: str, service: str) -> None:
-        """Count a request that was sent to a domain."""
+        """Add a request to those in flight in a domain."""
         self._window(domain, service).in_flight += 1
 
     def finished(self, domain: str, service: str) -> None:
-        """Count a request to a domain that ended."""
+        """Remove an ended request from those in flight in a domain."""
         self._window(domain, service).in_flight -= 1
 
     def admitted(self, domain: str, service: str) -> None:
-        """Raise the window, by one for each windowful of admitted requests."""
+        """Grow the window, by one for each full window of admitted requests."""
         window = self._window(domain, service)
         window.size = min(window.size + 1 / window.size, HIGHEST_WINDOW)
 
     def refused(self, domain: str, service: str) -> None:
-        """Halve the window, once for a burst of refusals."""
+        """Halve the window, once per burst of refusals."""
         window = self._window(domain, service)
         now = self.clock.monotonic()
         if now - window.cut_at < WINDOW_CUT_INTERVAL_S:
@@ -300,7 +301,7 @@
         window.cut_at = now
 
     def window(self, domain: str, service: str, table_age_ms: float = 0.0) -> int:
-        """Return the most requests that may be in flight in another domain."""
+        """Return the maximum number of requests in flight in another domain."""
         size = self._window(domain, service).size
         return max(1, int(size * remote_window_factor(table_age_ms)))
 
@@ -313,7 +314,7 @@
         return window
 
     def _order(self, query: DomainQuery, score: DomainScore) -> tuple:
-        """Order by use, age, score; ties go to the own domain, then at random."""
+        """Return a sort key: usable, not too old, score, local domain, then random."""
         return (
             not score.usable,
             score.age_ms > LAST_RESORT_MS,
@@ -334,7 +335,7 @@
         reason = self._obstacle(query, option, state.in_flight, window)
         latency_ms = 2 * option.one_way_latency_ms + option.service_latency_ms
         latency_part = query.latency_weight * latency_ms / LATENCY_UNIT_MS
-        # The view may not show this entry's own requests yet.
+        # The view may not include this entry's own requests yet.
         busy = max(option.in_flight, state.in_flight)
         utilisation = busy / option.slots if option.slots else 1.0
         load = utilisation**2 + option.link_utilisation**2
--- a/ebonybend/steering/keys.py
+++ b/ebonybend/steering/keys.py
@@ -11,12 +11,12 @@
 EPOCH_S = 60.0
 # Keys of older epochs are not dispatched, and their records are dropped.
 KEPT_EPOCHS = 60
-# A key is first used soon after it was given out. Keys without a record are not
-# dispatched after this number of epochs, so refusals need no longer be remembered.
+# A key is first used soon after it was issued. A key without a record is not dispatched
+# after this number of epochs, so refusals need not be stored for longer.
 FRESH_EPOCHS = 2
-# Larger answers are not kept: only that the request was answered.
+# The body of a larger answer isn't stored, only that the request was answered.
 KEPT_ANSWER_BYTES = 64 << 10
-# Bodies kept by one process; above it the oldest are dropped.
+# Total size of the bodies stored by one process; above it the oldest are dropped.
 KEPT_TOTAL_BYTES = 64 << 20
 # About 100 MB of records. Above it new keys are refused, because dropping a record
 # would allow a second dispatch.
@@ -44,7 +44,7 @@
             raise _bad_key(key)
         prefix = cls(parts[0], int(parts[1]), int(parts[2]))
         if not key.startswith(f"{prefix}~"):
-            # Two spellings of one number would make two keys of one.
+            # Two spellings of one number would turn one key into two.
             raise _bad_key(key)
         return prefix
 
@@ -62,13 +62,13 @@
 
 @frozen
 class StoredAnswer:
-    """An answer that is given again when its request is sent again."""
+    """An answer that is returned again when its request is retried."""
 
     # Identifies the request, so that a key can't be used for another one.
     fingerprint: str
     status: int
     content_type: str | None
-    # None when the answer is too large to be kept.
+    # None when the answer is too large to be stored.
     body: bytes | None
     served_by: str
     region: str = ""
@@ -82,7 +82,7 @@
 
 @frozen
 class OutcomeRecord:
-    """A key's final outcome as it is handed to a peer."""
+    """A key's final outcome, as it is replicated to a peer."""
 
     key: str
     # None when the outcome is unknown.
@@ -91,7 +91,7 @@
 
 @frozen
 class SealedIncarnation:
-    """A statement that an incarnation dispatches nothing more."""
+    """A statement that an incarnation dispatches no more requests."""
 
     instance: str
     incarnation: int
@@ -109,11 +109,11 @@
     RUNNING = "running"
     FINISHED = "finished"
     UNKNOWN = "unknown"
-    # The request did not run under this key and won't.
+    # The request did not run under this key and never will.
     NOT_RUN = "not_run"
     EXPIRED = "expired"
     NOT_OWNED = "not_owned"
-    # The key's epoch is in the future, so this process did not give it out.
+    # The key's epoch is in the future, so this process did not issue it.
     NOT_ISSUED = "not_issued"
     # The key was used for another request.
     MISMATCH = "mismatch"
@@ -134,7 +134,7 @@
     DISPATCHED = "dispatched"
     FINISHED = "finished"
     UNKNOWN = "unknown"
-    # Refused. A copy that was delayed on its way must not run after the refusal.
+    # Refused. A copy that is delayed in the network must not run after the refusal.
     NOT_RUN = "not_run"
 
 
@@ -144,13 +144,13 @@
     fingerprint: str
     state: _State = _State.RESERVED
     answer: StoredAnswer | None = None
-    # Place in the log of final outcomes, or None.
+    # Position in the log of final outcomes, or None.
     logged: int | None = None
 
 
 @frozen
 class FinishedSince:
-    """Outcomes after a mark, and the mark after them."""
+    """Outcomes from a log position on, and the position after them."""
 
     outcomes: tuple[OutcomeRecord, ...]
     mark: int
@@ -189,7 +189,7 @@
         self._refused_by_epoch: dict[int, list[str]] = {}
         self._purged_epoch = 0
         self._bodies = BodyBudget()
-        # Keys with a final outcome, by their place in the order of completion.
+        # Keys with a final outcome, by position in the order of completion.
         self._log: dict[int, str] = {}
         self._log_end = 0
 
@@ -198,11 +198,11 @@
         return int((self.clock.monotonic() - self.started) / EPOCH_S)
 
     def prefix(self) -> KeyPrefix:
-        """Return the prefix of keys that are given out now."""
+        """Return the prefix of keys that are issued now."""
         return KeyPrefix(self.own, self.incarnation, self.epoch())
 
     def owns(self, prefix: KeyPrefix) -> bool:
-        """Tell whether this incarnation is the key's owner."""
+        """Return whether this incarnation is the key's owner."""
         return (prefix.instance, prefix.incarnation) == (self.own, self.incarnation)
 
     def reserve(self, key: str, fingerprint: str = "") -> Reservation:
@@ -247,7 +247,7 @@
         return Reservation(ReservationState.RUNNING)
 
     def dispatched(self, key: str) -> bool:
-        """Allow the dispatch of a reserved key; return False if it must not run."""
+        """Mark a reserved key as dispatched; return False if it must not run."""
         self._purge()
         record = self._records.get(key)
         if record is None or record.state is not _State.RESERVED or self.sealed:
@@ -293,18 +293,18 @@
         self._refused_by_epoch.setdefault(record.epoch, []).append(key)
 
     def finished_since(self, mark: int, most: int = 256) -> FinishedSince:
-        """Return outcomes after a mark, oldest first, at most a number of them."""
+        """Return a limited number of outcomes from a log position on, oldest first."""
         end = min(mark + most, self._log_end)
         keys = [self._log[place] for place in range(mark, end) if place in self._log]
         outcomes = tuple(OutcomeRecord(key, self._records[key].answer) for key in keys)
         return FinishedSince(outcomes, end)
 
     def close(self) -> None:
-        """Dispatch nothing from now on; what runs may still end."""
+        """Refuse new dispatches; running requests may still end."""
         self.sealed = True
 
     def seal(self) -> SealedIncarnation:
-        """Dispatch nothing from now on; what still runs counts as unknown."""
+        """Refuse new dispatches and record running requests as unknown."""
         self._purge()
         self.close()
         for key, record in self._records.items():
--- a/ebonybend/steering/links.py
+++ b/ebonybend/steering/links.py
@@ -6,9 +6,9 @@
 
 WINDOW_S = 1.0
 BUCKET_S = 0.1
-# A window of 1 s can touch this many buckets, so that many are counted.
+# A window of 1 s can overlap this many buckets, so all of them are counted.
 BUCKETS = round(WINDOW_S / BUCKET_S) + 1
-# A charge of at most this part of the budget keeps the pacing smooth.
+# Charges of at most this fraction of the budget keep the pacing smooth.
 CHUNKS_PER_WINDOW = 10
 
 
@@ -17,12 +17,12 @@
 
     def __init__(self, bytes_per_second: float, senders: int, clock: Clock):
         self.clock = clock
-        # Most bytes in any window of 1 s.
+        # Maximum number of bytes in any window of 1 s.
         self.budget = int(bytes_per_second / max(1, senders))
         self.used = 0
         # Bucket numbers and their bytes, oldest first.
         self.buckets: deque[list[int]] = deque()
-        # An earlier incarnation may have filled the current window.
+        # An earlier incarnation may have used the budget of the current window.
         self.open_from = self._bucket() + BUCKETS
 
     def charge(self, size: int) -> bool:
--- a/ebonybend/steering/lookup.py
+++ b/ebonybend/steering/lookup.py
@@ -17,10 +17,10 @@
 from ebonybend.world import LifeState
 
 BLOCK_MASK = 0xFFFFFF00
-# Instances are ranked by this many groups of blocks rather than by block, so that the
-# order can be cached. With 21 instances in a domain their shares differ by about 14%.
+# Instances are ranked per group of blocks rather than per block, so that the order can
+# be cached. With 21 instances in a domain their shares differ by about 14%.
 BLOCK_GROUPS = 1024
-# A caller needs a second instance of a domain, then other domains.
+# A client falls back to a second instance of the domain, then to other domains.
 MOST_PER_DOMAIN = 2
 MOST_INSTANCES = 8
 # 1024 groups for each of 25 failure domains.
@@ -29,7 +29,7 @@
 
 @frozen
 class ClientShard:
-    """A part of the client map, as a platform object holds it."""
+    """A part of the client map, as stored in a platform object."""
 
     # Names of the failure domains that the numbers stand for; the same in all shards.
     sites: tuple[str, ...]
@@ -66,7 +66,7 @@
 
 
 class ClientMap:
-    """The site of each /24 block of client addresses, in two flat arrays."""
+    """Maps /24 blocks of client addresses to sites, in two flat arrays."""
 
     def __init__(self, sites: tuple[str, ...], starts: array, numbers: array):
         self.sites = sites
@@ -99,7 +99,7 @@
         return self.numbers[index]
 
     def size_bytes(self) -> int:
-        """Return the memory that the blocks take."""
+        """Return the memory that the blocks use."""
         starts, numbers = self.starts, self.numbers
         return len(starts) * starts.itemsize + len(numbers) * numbers.itemsize
 
@@ -119,7 +119,7 @@
 
 @lru_cache(maxsize=RANK_CACHE_SIZE)
 def _ranked(names: tuple[bytes, ...], group: int) -> tuple[int, ...]:
-    """Return the positions of the names that serve a group of blocks first."""
+    """Return the positions of the names that a group of blocks prefers, best first."""
     hashes = [xxh3_64_intdigest(name, group) for name in names]
     order = sorted(range(len(names)), key=hashes.__getitem__, reverse=True)
     return tuple(order[:MOST_PER_DOMAIN])
@@ -127,7 +127,7 @@
 
 @frozen
 class ReadyInstances:
-    """A failure domain's instances that callers can use, by name."""
+    """A failure domain's instances that clients can use, by name."""
 
     names: tuple[bytes, ...]
     views: tuple[InstanceView, ...]
@@ -146,8 +146,8 @@
         self.table = table
         self.client_map = client_map
         self.ready = _ready_by_domain(table, drained)
-        # Orders of the failure domains by the site's name; they change only with the
-        # deployment, so a newer ranker takes them over.
+        # Failure domains by latency, for each site. They change only with the
+        # deployment, so a new ranker reuses those of the previous one.
         self.orders: dict[str, tuple[str, ...]] = {}
         if previous is not None and previous.table.deployment == table.deployment:
             self.orders = previous.orders
@@ -168,7 +168,7 @@
 
     def _order(self, client_ip: int) -> tuple[str, ...]:
         number = self.client_map.site_of(client_ip)
-        # An unknown client is served near the instance that it reached.
+        # A client at an unknown site is assumed to be near the instance it reached.
         site = self.table.failure_domain
         if number is not None:
             site = self.client_map.sites[number]
--- a/ebonybend/steering/outcomes.py
+++ b/ebonybend/steering/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of other entries' keys, kept for when their owner can't be reached."""
+"""Outcomes of other entries' keys, for use when the keys' owner is unreachable."""
 
 from enum import Enum
 
@@ -53,7 +53,7 @@
     def add(
         self, instance: str, incarnation: int, records: tuple[OutcomeRecord, ...]
     ) -> None:
-        """Keep the outcomes that an owner replicated."""
+        """Store the outcomes that an owner replicated."""
         now = self.clock.monotonic()
         self._expire(now)
         owner = self._incarnations.setdefault((instance, incarnation), _Incarnation())
@@ -74,7 +74,7 @@
             owner.outcomes[key] = (received, evolve(answer, body=None))
 
     def seal(self, sealed: SealedIncarnation) -> bool:
-        """Take a seal; return False if outcomes that it counts are missing."""
+        """Record a seal; return False if outcomes that it counts are missing."""
         name = (sealed.instance, sealed.incarnation)
         owner = self._incarnations.setdefault(name, _Incarnation())
         covered = [key for key in owner.outcomes if self._covers(sealed, key)]
--- a/ebonybend/steering/slots.py
+++ b/ebonybend/steering/slots.py
@@ -1,8 +1,8 @@
-"""Decide which backend server slots an entry instance may use.
+"""Assign the slots of backend servers to the entry instances of a failure domain.
 
-Slot i of a server belongs to the member with the highest rendezvous hash among the
-roster of the failure domain without its released members. A member is a name of the
-roster, or a former name that has not been released yet.
+Slot i of a server belongs to the member with the highest rendezvous hash. Members are
+the instances on the failure domain's roster and those removed from it, until they are
+released.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,47 +12,48 @@
 
 from ebonybend.clock import Clock
 
-# Covers the time between a member's last loop run and the receipt of its heartbeat.
+# Covers the time between a run of a member's heartbeat loop and the receipt of its
+# heartbeat.
 MARGIN_S = 0.5
 
 
 @frozen
 class Heartbeat:
-    """A sign of life between entries of a failure domain, or the answer to one."""
+    """A heartbeat between entries of a failure domain, or the answer to one."""
 
     name: str
     incarnation: int
-    # Grows with each message of an incarnation, so that late ones are recognised.
+    # Increases with each message of an incarnation, so that late ones are recognised.
     sequence: int
-    # The sender uses no slot, has nothing in flight and will not use a slot again.
+    # The sender owns no slot, has no request in flight and will not use a slot again.
     released: bool = False
-    # Answers only: the receiver counts as a member, and what the sender has in flight
-    # fits the share that this leaves it.
+    # Answers only: the sender counts the receiver as a member, and the sender's
+    # requests in flight fit into the slots that it owns then.
     acknowledges: bool = False
-    # Answers only: the sender had released the receiver and may use its slots still.
+    # Answers only: the sender had released the receiver and may still use its slots.
     reclaiming: bool = False
     # Answers only: the highest incarnation of the receiver that the sender knows.
     peer_incarnation: int = 0
 
 
 class Peer:
-    """What a ledger knows about another member."""
+    """A ledger's view of another member."""
 
     def __init__(self, now: float, acknowledged: bool):
         self.incarnation = 0
         self.sequence = 0
         self.heard_at = now
         self.released = False
-        # It was released and has not been acknowledged since it came back.
+        # It was released, sent heartbeats again and has not been acknowledged since.
         self.reclaiming = False
-        # It is known not to use slots that this process owns.
+        # It is known to use no slot that this process owns.
         self.acknowledged = acknowledged
         self.first_refused_at: float | None = None
         self.last_refused_at: float | None = None
         self.unlisted_since: float | None = None
 
     def restart_evidence(self, now: float) -> None:
-        """Forget what was observed before a pause of the observer."""
+        """Discard the observations from before a pause of this process."""
         self.heard_at = now
         self.first_refused_at = None
         self.last_refused_at = None
@@ -61,7 +62,7 @@
 
 
 class SlotLedger:
-    """The slots that one incarnation of an entry may use, and those in use."""
+    """Tracks the slots that one incarnation of an entry owns, and those in use."""
 
     def __init__(
         self,
@@ -77,7 +78,7 @@
         self.clock = clock
         self.hold_s = hold_s
         self.longest_deadline_s = longest_deadline_s
-        # Requests of an earlier incarnation may run until then.
+        # Requests of an earlier incarnation may run until this time.
         self.settled_at = now + hold_s + longest_deadline_s
         self.silence_s = hold_s + longest_deadline_s + MARGIN_S
         self.evidence_s = longest_deadline_s + MARGIN_S
@@ -86,7 +87,7 @@
         self.servers: dict[str, int] = {}
         self.listed: frozenset[str] | None = None
         self.ticked_at = now
-        # Only acknowledgements of heartbeats sent after this time count.
+        # Only answers to heartbeats sent after this time count as acknowledgements.
         self.synchronise_from = now
         self.resumed_at = now
         self.sequence = 0
@@ -99,11 +100,12 @@
         self._ready = False
 
     def set_roster(self, names: Iterable[str]) -> None:
-        """Set the planned instance names of the failure domain, own name included."""
+        """Set the planned instances of the failure domain, this one included."""
         now = self.clock.monotonic()
         was_member = self.own in self.roster
         self.roster = frozenset(names)
-        # A name that joins waits for this process, not the other way round.
+        # A joining instance waits for this process's acknowledgement; this process
+        # doesn't wait for the joining one.
         for name in self.roster - self.peers.keys() - {self.own}:
             self.peers[name] = Peer(now, acknowledged=was_member)
             self._note_listing(name, now)
@@ -113,7 +115,7 @@
         self._members_changed()
 
     def set_servers(self, servers: Mapping[str, int]) -> None:
-        """Set the slots of each backend server of the failure domain."""
+        """Set the number of slots of each backend server of the failure domain."""
         if servers == self.servers:
             return
         self.servers = dict(servers)
@@ -121,14 +123,14 @@
         self._members_changed()
 
     def set_listed(self, live_names: Iterable[str]) -> None:
-        """Set the names that the platform's list shows as live."""
+        """Set the instances that the platform lists as live."""
         self.listed = frozenset(live_names)
         now = self.clock.monotonic()
         for name in self.peers:
             self._note_listing(name, now)
 
     def tick(self) -> None:
-        """Note that the heartbeat loop ran; detect a pause and release the dead."""
+        """Record a run of the heartbeat loop; detect a pause and release dead peers."""
         now = self.clock.monotonic()
         gap = now - self.ticked_at
         self.ticked_at = now
@@ -147,7 +149,7 @@
         )
 
     def receive(self, heartbeat: Heartbeat) -> Heartbeat:
-        """Take in a peer's heartbeat and return the answer to it."""
+        """Record a peer's heartbeat and return the answer to it."""
         now = self.clock.monotonic()
         if heartbeat.name == self.own and heartbeat.incarnation > self.incarnation:
             self.superseded = True
@@ -171,10 +173,10 @@
         )
 
     def acknowledged(self, answer: Heartbeat, sent_at: float) -> None:
-        """Take in the answer to a heartbeat that was sent at a time."""
+        """Record the answer to a heartbeat that was sent at `sent_at`."""
         if answer.peer_incarnation > self.incarnation:
             self.superseded = True
-        # A late answer may come from before the peer released this process.
+        # A late answer may have been sent before the peer released this process.
         late = self.clock.monotonic() - sent_at >= self.hold_s
         valid = sent_at >= self.synchronise_from and not late
         if self._update_peer(answer, may_release=valid):
@@ -186,7 +188,7 @@
         self._check_ready()
 
     def refused(self, name: str) -> None:
-        """Note that a peer's port refused a connection."""
+        """Record that a peer's port refused a connection."""
         peer = self.peers.get(name)
         if peer is None:
             return
@@ -196,17 +198,17 @@
         peer.last_refused_at = now
 
     def started(self, server: str) -> None:
-        """Count a request that was sent to a server."""
+        """Add a request to those in flight on a server."""
         self._in_flight[server] = self._in_flight.get(server, 0) + 1
         self._total_in_flight += 1
 
     def finished(self, server: str) -> None:
-        """Count a request that ended on a server."""
+        """Remove an ended request from those in flight on a server."""
         self._in_flight[server] -= 1
         self._total_in_flight -= 1
 
     def owned(self, server: str) -> int:
-        """Return the number of a server's slots that may be used at this moment."""
+        """Return the number of a server's slots that this process may use now."""
         if not self._ready or self.clock.monotonic() - self.ticked_at >= self.hold_s:
             return 0
         return self._shares.get(server, 0)
@@ -220,12 +222,12 @@
         return self.servers.get(server, 0)
 
     def release(self) -> None:
-        """Own nothing from now on; heartbeats say so once nothing is in flight."""
+        """Stop owning slots; heartbeats report it once no request is in flight."""
         self.releasing = True
         self._check_ready()
 
     def is_released(self) -> bool:
-        """Return whether this name has no request running and starts no more."""
+        """Return whether this instance has no request in flight and starts no more."""
         settled = self.clock.monotonic() >= self.settled_at
         stopping = self.releasing or self.own not in self.roster
         return stopping and settled and self._total_in_flight == 0
@@ -253,7 +255,7 @@
             peer.unlisted_since = now
 
     def _update_peer(self, message: Heartbeat, may_release: bool) -> bool:
-        """Update a peer from its message; return whether the message is current."""
+        """Update a peer from its message; return False for an old one or a release."""
         peer = self.peers.get(message.name)
         if peer is None:
             return False
@@ -267,7 +269,7 @@
         if message.released and may_release:
             self._set_released(peer)
         elif peer.released and not message.released:
-            # It uses nothing until this process acknowledges it.
+            # It uses no slot until this process acknowledges it.
             peer.released = False
             peer.reclaiming = True
             self._members_changed()
@@ -282,8 +284,9 @@
         self._members_changed()
 
     def _resume(self, now: float, gap: float) -> None:
-        # A replacement of a released member that started during a short gap is itself
-        # still waiting. After a long gap, or two close together, it may own slots.
+        # A released member's replacement that started during a short pause still waits
+        # for acknowledgements. After a long pause, or two close together, it may own
+        # slots.
         steady = now - gap - self.resumed_at >= self.silence_s
         keep_released = steady and gap < self.longest_deadline_s
         self.resumed_at = now
@@ -314,8 +317,8 @@
     def _is_dead(self, peer: Peer, now: float) -> bool:
         """Return whether a peer is silent and another source shows it as dead.
 
-        Evidence counts once it is older than the longest deadline, because a peer that
-        was cut off may have sent requests until the moment it died.
+        The evidence must be older than the longest deadline, because a partitioned peer
+        may have sent requests until it died.
         """
         if now - peer.heard_at < self.silence_s:
             return False
@@ -356,10 +359,10 @@
         return value
 
     def _fits(self) -> bool:
-        """Return whether all requests of this name fit this process's share.
+        """Return whether all requests of this instance fit into the slots it owns.
 
-        Requests of an earlier incarnation are not counted here, so the answer is no
-        until they have ended.
+        Requests of an earlier incarnation aren't counted, so the result is False until
+        they have ended.
         """
         if self.clock.monotonic() < self.settled_at:
             return False
--- a/ebonybend/steering/suspects.py
+++ b/ebonybend/steering/suspects.py
@@ -1,4 +1,4 @@
-"""Find the requests that crash backend servers, and refuse them."""
+"""Detect the requests that crash backend servers, and refuse them."""
 
 from collections.abc import Iterable
 from enum import Enum
@@ -8,14 +8,14 @@
 
 from ebonybend.clock import Clock
 
-# Two crashes within this time without a success between them refuse a request.
+# A request is refused after two crashes within this time without a success in between.
 SUSPECT_LIFETIME_S = 60.0
 REFUSED_LIFETIME_S = 3600.0
 CRASHES_TO_REFUSE = 2
 # Bounds the memory when many different requests are in flight on crashing servers.
 MOST_SUSPECTS = 10_000
-# Several entries use one server, so a notice of a crash may arrive before the own
-# connection to the same server is seen to end.
+# Several entries use one server, so the notice of a crash may arrive before this
+# entry's own connection to that server ends.
 SAME_CRASH_S = 1.0
 
 
@@ -28,7 +28,7 @@
     refused: bool
     # Time since the last crash, in milliseconds.
     age_ms: float = 0.0
-    # The servers that crashed; they tell two crashes from two reports of one.
+    # The servers that crashed; distinguishes two crashes from two reports of one.
     servers: tuple[str, ...] = ()
 
 
@@ -42,8 +42,8 @@
 
 
 def fingerprint(service: str, method: str, path: str, body: bytes) -> str:
-    """Return the name of a request's content, 32 hexadecimal digits."""
-    # The parts are length-prefixed, so that no two requests share one text.
+    """Return a hash of a request's content, 32 hexadecimal digits."""
+    # The lengths of the parts keep different requests from sharing one text.
     head = f"{len(service)},{len(method)},{len(path)};{service}{method}{path}"
     state = xxh3_128(head.encode())
     state.update(body)
@@ -73,13 +73,13 @@
 
 
 class SuspectRegistry:
-    """The suspects that an instance knows, from its own crashes and from others."""
+    """The suspects of an instance, from its own crashes and from other instances."""
 
     def __init__(self, clock: Clock, crashes_to_refuse: int = CRASHES_TO_REFUSE):
         self.clock = clock
         self.crashes_to_refuse = crashes_to_refuse
         self.suspects: dict[str, Suspect] = {}
-        # When a fingerprint was last cleared; older notices no longer count.
+        # Time when a fingerprint was last cleared; earlier crashes are ignored.
         self.cleared_at: dict[str, float] = {}
         self.pardoned_at: dict[str, float] = {}
 
@@ -100,7 +100,7 @@
             self.suspects[name] = known
 
     def succeeded(self, name: str) -> None:
-        """Clear a suspect that has run without a crash, unless it is refused."""
+        """Clear a suspect that ran without a crash, unless it is refused."""
         known = self.suspects.get(name)
         if known is not None and not known.refused:
             self._clear(name)
@@ -120,7 +120,7 @@
         return Verdict.REFUSE if known.refused else Verdict.ALONE
 
     def merge(self, *views: SuspectView) -> None:
-        """Take in what other instances know; order and repetition don't matter."""
+        """Merge the suspects of other instances; order and repetition don't matter."""
         now = self.clock.monotonic()
         self._expire(now)
         for view in views:
@@ -149,7 +149,7 @@
         )
 
     def cleared(self) -> tuple[str, ...]:
-        """Return the fingerprints that were cleared and not suspected again."""
+        """Return the fingerprints that were cleared and aren't suspected again."""
         return tuple(name for name in self.cleared_at if name not in self.suspects)
 
     def _live(self, name: str, now: float) -> Suspect | None:
@@ -159,7 +159,7 @@
         return known
 
     def _cleared_at(self, view: SuspectView) -> float:
-        """Return when a success or a pardon lifted such a suspicion."""
+        """Return when a success or a pardon last cleared such a suspect."""
         lifted = self.pardoned_at.get(view.fingerprint, float("-inf"))
         if view.refused:
             return lifted
--- a/ebonybend/steering/table.py
+++ b/ebonybend/steering/table.py
@@ -1,4 +1,4 @@
-"""The routing table that a control process hands to its entry process."""
+"""The routing table that a control process sends to its entry process."""
 
 from attrs import field, frozen
 
@@ -8,7 +8,7 @@
 
 @frozen
 class ServerView:
-    """A backend server of the own failure domain as its control sees it."""
+    """A backend server of the local failure domain, as its control sees it."""
 
     name: str
     service: str
@@ -16,30 +16,30 @@
     slots: int
     connections: int
     state: ServerState
-    # Load that the server itself reported; it may lag or mislead.
+    # Load that the server itself reported; it may be outdated or wrong.
     reported_in_flight: int = 0
     reported_age_ms: float = 0.0
 
 
 @frozen
 class InstanceView:
-    """An entry instance as the peer exchange last described it."""
+    """An entry instance, as last reported in the peer exchange."""
 
     name: str
     incarnation: int
     failure_domain: str
-    # Address that callers use, "ip:port".
+    # Address that clients use, "ip:port".
     public_address: str
     # Address of the entry's peer port, "ip:port".
     peer_address: str
     control_address: str
     state: LifeState
-    # Ready to serve callers: its entry process reported within the last seconds.
+    # Ready to serve clients: its entry process reported within the last seconds.
     ready: bool
     key_epoch: int
     rules_revision: int
     age_ms: float = 0.0
-    # Whether the platform's list has it as live; evidence for slot takeover.
+    # Whether the platform lists it as live; evidence for slot takeover.
     listed: bool = True
 
 
@@ -65,9 +65,9 @@
 
 @frozen
 class Table:
-    """Everything that an entry process decides with."""
+    """All data on which an entry process bases its decisions."""
 
-    # Grows with each table that a control process builds.
+    # Increases with each table that a control process builds.
     serial: int
     control_incarnation: int
     rules_revision: int
@@ -90,13 +90,13 @@
     limit: int
     latency_ms: float
     failing: bool = False
-    # An answer of the server said that it is leaving.
+    # The server reported in an answer that it is draining.
     draining: bool = False
 
 
 @frozen
 class ShiftUsage:
-    """What one entry sent under a shift or cap in the last window."""
+    """The requests that one entry sent under a shift or cap in the last window."""
 
     rule_text: str
     sent: int
@@ -105,7 +105,7 @@
 
 @frozen
 class EntryReport:
-    """What an entry process tells its control process."""
+    """An entry process's report to its control process."""
 
     instance: str
     # Chosen by the entry process at its start; larger than any earlier one.
@@ -121,7 +121,7 @@
     servers: tuple[ServerLoad, ...] = ()
     shifts: tuple[ShiftUsage, ...] = ()
     suspects: tuple[SuspectView, ...] = ()
-    # Fingerprints whose suspicion a success has lifted.
+    # Fingerprints of suspects that were cleared by a success.
     cleared: tuple[str, ...] = ()
 
 
@@ -138,15 +138,18 @@
 
 @frozen
 class NoticeRequest:
-    """Ask the control to answer when it has something that can't wait for a report."""
+    """Ask the control to answer as soon as it has an urgent notice.
 
-    # Notices that the entry process has taken, counted since the control's start.
+    An urgent notice can't wait for the entry's next report.
+    """
+
+    # Notices that the entry process has received, counted since the control's start.
     taken: int
 
 
 @frozen
 class NoticeReply:
-    """How many notices the control has told."""
+    """The number of notices that the control has sent."""
 
     told: int
 
--- a/ebonybend/steering/tests/simulated_domain.py
+++ b/ebonybend/steering/tests/simulated_domain.py
@@ -1,4 +1,4 @@
-"""Entries of one failure domain that exchange heartbeats over a faulty network."""
+"""Simulate the entries of a failure domain and their heartbeats on a faulty network."""
 
 from collections import Counter
 from heapq import heappop, heappush
@@ -11,7 +11,7 @@
 HOLD_S = 2.0
 DEADLINE_S = 5.0
 TICK_S = 0.25
-# Longer series of losses count as a cut link.
+# More losses in a row are simulated as a cut link.
 MOST_LOSSES = 3
 
 
@@ -24,7 +24,7 @@
         self.clock = ManualClock()
         self.dead = False
         self.paused_at = None
-        # Whether the platform lists it as live during a pause.
+        # Whether the platform lists the process as live during a pause.
         self.listed = True
         self.inbox = []
         self.set_time(domain.now)
@@ -42,7 +42,7 @@
 class SimulatedDomain:
     def __init__(self, names, servers, seed=None):
         self.names, self.servers = names, servers
-        # Without a seed the network is perfect.
+        # Without a seed the network has no faults.
         self.random = Random(seed)
         self.faulty = seed is not None
         self.now = 0.0
@@ -100,7 +100,7 @@
     def deliver_list(self, name, live):
         process = self.current[name]
         before, self.received[name] = self.received[name], live
-        # Section 5.2 gives no bound for a list and a link that both fail.
+        # Section 5.2 gives no bound when both the list and a link fail.
         cut = (n for n in self.names if frozenset((name, n)) in self.cuts)
         if any(self.misjudges(name, other) for other in cut):
             self.received[name] = before
@@ -108,13 +108,13 @@
         process.ledger.set_listed(self.received[name])
 
     def misjudges(self, observer, name, both=False):
-        """Return whether the list that an observer has lacks a live member."""
+        """Return whether the list that an observer received lacks a live member."""
         if both and self.misjudges(name, observer):
             return True
         return not self.current[name].dead and name not in self.received[observer]
 
     def refresh_lists(self):
-        """Update the platform's list and hand out late versions of it."""
+        """Update the platform's list and deliver delayed versions of it."""
         live = [p.name for p in self.current.values() if not p.dead and p.listed]
         self.lists.append(frozenset(live))
         for name in self.names:
@@ -184,7 +184,7 @@
         return self.random.choice([0.001, 0.01, 0.05, 0.4])
 
     def dispatch(self, process):
-        """Fill the free slots of a process with requests up to the longest deadline."""
+        """Fill a process's free slots with requests of up to the longest deadline."""
         if not self.greedy or not process.runs():
             return
         process.set_time(self.now)
@@ -198,7 +198,7 @@
         self.check()
 
     def finish(self, process, server):
-        """End a request on the server, whether or not its sender still lives."""
+        """End a request on the server, whether or not its sender is still alive."""
         self.running[server] -= 1
         self.handle(process, lambda sender: sender.ledger.finished(server))
 
@@ -213,7 +213,7 @@
         return process.ledger.owned(server)
 
     def total(self, name=None):
-        """Return the slots owned by a member, or by all members together."""
+        """Return the number of slots owned by a member, or by all members."""
         chosen = [self.current[name]] if name else self.current.values()
         chosen = [process for process in chosen if process.runs()]
         return sum(self.owned(p, server) for p in chosen for server in self.servers)
--- a/ebonybend/steering/tests/test_admission.py
+++ b/ebonybend/steering/tests/test_admission.py
@@ -57,7 +57,7 @@
         self.assertEqual(0, self.admission.free("s"))
 
     def test_shed_halves_then_recovers_one_per_second(self):
-        """Guards against a server that is pushed while it sheds load."""
+        """Guards against a full load on a server that sheds requests."""
         self.settle()
         self.finish(ServerResult.SHED)
         self.assertEqual(2, self.admission.limit("s"))
@@ -73,7 +73,7 @@
         self.assertEqual(1, self.admission.limit("s"))
 
     def test_leaving_server_gets_nothing(self):
-        """Guards against new work on a server that drains or is down."""
+        """Guards against new requests on a server that drains or is down."""
         self.settle()
         for state, limit in [
             (ServerState.DRAINING, 0),
--- a/ebonybend/steering/tests/test_choice.py
+++ b/ebonybend/steering/tests/test_choice.py
@@ -65,7 +65,7 @@
         self.assertIn(chosen[1], ("s2", "s3"))
 
     def test_failing_server_is_avoided_then_tried_again(self):
-        """Guards against a failing server that looks fast, and one never used again."""
+        """Guards against preferring a server that fails fast, or never retrying it."""
         self.admission.start("s1")
         self.admission.finish("s1", ServerResult.TIMEOUT, 0.001)
         self.assertEqual({"s2", "s3"}, self.picks())
@@ -75,7 +75,7 @@
         self.assertEqual({"s1", "s2", "s3"}, self.picks())
 
     def test_reported_load_counts_less_with_age(self):
-        """Guards against a stale report that keeps an idle server unused."""
+        """Guards against a stale load report that excludes an idle server."""
         loaded = evolve(SERVERS[0], reported_in_flight=4)
         self.assertNotIn("s1", self.picks((loaded, *SERVERS[1:])))
         fresh, stale = (
@@ -85,7 +85,7 @@
         self.assertLess(stale, fresh)
 
     def test_server_without_measurements_loses_weight(self):
-        """Guards against trust in a server whose measurements stopped."""
+        """Guards against full weight for a server whose measurements stopped."""
         old = evolve(SERVERS[0], reported_age_ms=9000)
         for _ in range(9):
             self.clock.advance(1)
@@ -93,7 +93,7 @@
         self.assertEqual({"s2", "s3"}, self.picks((old, *SERVERS[1:])))
 
     def test_all_measurements_stopped_keeps_the_last_state(self):
-        """Guards against an observer's fault that is blamed on the servers."""
+        """Guards against a fault of the entry that is attributed to the servers."""
         for _ in range(9):
             self.clock.advance(1)
             self.ledger.tick()
@@ -154,7 +154,7 @@
             self.assertEqual("mandeville-1", self.choose(full, other))
 
     def test_old_view_loses_weight_and_is_the_last_resort(self):
-        """Guards against trust in a domain that is no longer heard."""
+        """Guards against full weight for a domain that no longer reports."""
         other = evolve(FAR, domain="mandeville-1", one_way_latency_ms=70.0)
         self.assertEqual("montego-1", self.choose(FAR, other))
         self.assertEqual("mandeville-1", self.choose(evolve(FAR, age_ms=9000), other))
@@ -163,7 +163,7 @@
         self.assertEqual("montego-1", self.choose(lost))
 
     def test_full_domain_is_not_chosen(self):
-        """Guards against a domain that is overloaded from afar."""
+        """Guards against overloading a remote domain."""
         self.assertIsNone(self.choose(evolve(FAR, in_flight=16)))
         self.assertIsNone(self.choose(evolve(FAR, slots=0)))
 
@@ -188,7 +188,7 @@
         self.assertEqual(1, self.chooser.window("montego-1", "rides", 60_000))
 
     def test_explain_gives_the_reason(self):
-        """Guards against a choice that operators can't follow."""
+        """Guards against a choice that operators can't explain."""
         scores = self.chooser.explain(evolve(QUERY, exclude=frozenset(["kingston-1"])))
         self.assertEqual(["montego-1", "kingston-1"], [s.domain for s in scores])
         self.assertEqual("excluded", scores[1].reason)
--- a/ebonybend/steering/tests/test_keys.py
+++ b/ebonybend/steering/tests/test_keys.py
@@ -28,7 +28,7 @@
 
 
 class BadKeyTest(TestWithScenarios, TestCase):
-    """Guards against keys whose owner can't be told or is written in two ways."""
+    """Guards against keys whose owner is ambiguous or can be written in two ways."""
 
     scenarios = [
         (name, {"key": key})
@@ -50,7 +50,7 @@
 
 
 class ReservationTest(TestWithScenarios, TestCase):
-    """Guards against a wrong answer to a resend."""
+    """Guards against a wrong answer to a retried request."""
 
     scenarios = [
         ("running", {"steps": ["dispatched"], "state": ReservationState.RUNNING}),
@@ -103,7 +103,7 @@
 
 
 class RefusedKeyTest(TestCase):
-    """Guards against the dispatch of keys that this process did not give out."""
+    """Guards against the dispatch of keys that this process did not issue."""
 
     def setUp(self):
         super().setUp()
@@ -133,7 +133,7 @@
 
 
 class SealTest(TestCase):
-    """Guards against "not run" from a peer that lacks some outcomes."""
+    """Guards against the answer "not run" from a peer that lacks some outcomes."""
 
     def test_incomplete_seal_is_refused(self):
         clock = ManualClock()
@@ -153,7 +153,7 @@
 
 
 class AtMostOnceMachine(RuleBasedStateMachine):
-    """Send, resend, seal, expire and replicate keys in any order."""
+    """Sends, resends, seals, expires and replicates keys in any order."""
 
     def __init__(self):
         super().__init__()
--- a/ebonybend/steering/tests/test_lookup.py
+++ b/ebonybend/steering/tests/test_lookup.py
@@ -34,7 +34,7 @@
 
 
 class BadShardTest(TestWithScenarios, TestCase):
-    """Guards against a damaged client map that sends clients anywhere."""
+    """Guards against a damaged client map that sends clients to wrong sites."""
 
     scenarios = [
         ("overlap", {"shards": [encode_shard(SITES, [(BLOCK, 0)])] * 2}),
@@ -81,7 +81,7 @@
         self.assertEqual(502 * 6, self.client_map.size_bytes())
 
     def test_nearest_domain_first(self):
-        """Guards against clients that are sent far away."""
+        """Guards against clients that are sent to a remote domain."""
         domains = [view.failure_domain for view in self.ranker.rank(CLIENT)]
         self.assertEqual(["m1", "m1", "k1", "k1", "k2", "k2"], domains)
         unknown = [view.failure_domain for view in self.ranker.rank(2**32 - 1)]
@@ -109,6 +109,6 @@
             self.assertNotIn("m1-0", after.values())
 
     def test_drained_instance_is_not_listed(self):
-        """Guards against new callers on an instance that is drained by rule."""
+        """Guards against new clients on an instance that a rule drains."""
         ranker = LookupRanker(self.table, self.client_map, drained={"m1-1"})
         self.assertNotIn("m1-1", self.first(ranker).values())
--- a/ebonybend/steering/tests/test_slots.py
+++ b/ebonybend/steering/tests/test_slots.py
@@ -19,14 +19,14 @@
         self.domain = SimulatedDomain(NAMES, TWELVE_SERVERS)
 
     def test_start_owns_nothing_until_hold_and_deadline_have_passed(self):
-        """Guards against a new incarnation that adds to its predecessor's requests."""
+        """Guards against use of slots that a previous incarnation's requests occupy."""
         self.domain.run(6.9)
         self.assertEqual(0, self.domain.total())
         self.domain.run(0.5)
         self.assertEqual(60, self.domain.total())
 
     def test_killed_member_is_taken_over_and_gets_its_slots_back(self):
-        """Guards against unused slots after a kill, and an outage while one joins."""
+        """Guards against unused slots after a kill, and an outage during a rejoin."""
         self.domain.run(8)
         share = self.domain.total("a")
         self.domain.kill(self.domain.current["a"])
@@ -43,7 +43,7 @@
         self.assertEqual(60, self.domain.total())
 
     def test_replacement_waits_for_requests_on_its_slots(self):
-        """Guards against an acknowledgement before the share fits."""
+        """Guards against an acknowledgement while requests exceed the owned slots."""
         self.domain.run(8)
         self.domain.kill(self.domain.current["a"])
         self.domain.run(HOLD_S + DEADLINE_S + 1)
@@ -61,7 +61,7 @@
         self.assertEqual(60, self.domain.total())
 
     def test_silent_but_listed_member_keeps_its_slots(self):
-        """Guards against takeover on silence alone."""
+        """Guards against a takeover because of silence alone."""
         self.domain.run(8)
         before = self.domain.total("b")
         self.domain.pause(self.domain.current["a"])
@@ -87,7 +87,7 @@
         self.assertEqual(60, self.domain.total())
 
     def test_evidence_of_death_waits_for_the_longest_deadline(self):
-        """Guards against takeover while requests of a member that was cut off run."""
+        """Guards against a takeover while a partitioned member's requests still run."""
         self.domain.run(8)
         share = self.domain.total("a")
         self.domain.cuts = {frozenset("ab"), frozenset("ac")}
@@ -119,7 +119,7 @@
         self.assertEqual(60, self.domain.total())
 
     def test_graceful_release_moves_slots_at_once(self):
-        """Guards against headroom lost to a planned stop."""
+        """Guards against slots that stay unused after a planned stop."""
         self.domain.run(8)
         self.domain.current["a"].ledger.release()
         self.assertEqual(0, self.domain.total("a"))
@@ -127,7 +127,7 @@
         self.assertEqual(60, self.domain.total())
 
     def test_superseded_incarnation_owns_nothing(self):
-        """Guards against a replaced process that runs on beside its replacement."""
+        """Guards against a replaced process that still uses slots."""
         self.domain.run(8)
         old = self.domain.current["a"]
         self.domain.start("a")
@@ -136,7 +136,7 @@
         self.assertEqual(0, self.domain.owned(old, "server-1"))
 
     def test_joining_member_does_not_stop_the_others(self):
-        """Guards against a planned name that stops the running members."""
+        """Guards against a new name on the roster that stops the running members."""
         self.domain.run(8)
         self.domain.names = (*NAMES, "d")
         for process in self.domain.processes:
@@ -151,7 +151,8 @@
 # Servers on which each of the three members owns two slots.
 SHARED_SERVERS = {"s18": 6, "s23": 6}
 OUTAGES = sampled_from([0.3, 1.9, 2.6, 4.5, 7.2, 7.9, 12.0])
-# Most faults come alone or with one other; a domain that never settles uses no slots.
+# Long enough that most faults occur alone or with one other: a domain that never
+# recovers uses no slots.
 WAITS = sampled_from([0.0, 0.4, 2.2, 5.2, 8.0, 9.0, 15.0, 20.0])
 
 
--- a/ebonybend/steering/tests/test_suspects.py
+++ b/ebonybend/steering/tests/test_suspects.py
@@ -39,7 +39,7 @@
         self.assertIs(Verdict.ALLOW, self.registry.verdict(READ))
 
     def test_suspicion_ends_by_time_or_pardon(self):
-        """Guards against requests that are refused for good."""
+        """Guards against requests that are refused permanently."""
         self.registry.crashed([READ], alone=False)
         self.registry.crashed([POISON], alone=True)
         self.clock.advance(61)
@@ -59,14 +59,14 @@
         self.assertIs(Verdict.ALONE, self.registry.verdict(READ))
 
     def test_two_crashes_seen_by_two_entries_refuse(self):
-        """Guards against crashes that are lost in the merge by maximum."""
+        """Guards against a merge that takes the larger count and so loses a crash."""
         self.other.crashed([POISON], alone=False, server="s1")
         self.registry.crashed([POISON], alone=False, server="s2")
         self.registry.merge(*self.other.views())
         self.assertIs(Verdict.REFUSE, self.registry.verdict(POISON))
 
     def test_old_news_does_not_return_after_a_success(self):
-        """Guards against a cleared request that a late message accuses again."""
+        """Guards against a cleared request that a late message makes suspect again."""
         self.registry.crashed([READ], alone=False)
         old = self.registry.views()
         self.clock.advance(1)
@@ -77,11 +77,11 @@
 
 
 class SuspectMachine(RuleBasedStateMachine):
-    """Guards against a third crash, and against refusing what has succeeded."""
+    """Guards against a third crash, and refusal of a request that succeeded."""
 
     def __init__(self):
         super().__init__()
-        # Each registry has its own clock; the servers of each are its own.
+        # Each registry has its own clock and its own servers.
         self.clocks = [ManualClock(1000.0 * number) for number in range(1, 4)]
         self.registries = [SuspectRegistry(clock) for clock in self.clocks]
         self.notices = []
@@ -101,7 +101,7 @@
             beside = [READ]
             self.read_is_clear = False
         registry.crashed([poison, *beside], alone, f"server of {at}")
-        # The notice reaches every domain before the caller can send it again.
+        # The notice reaches every domain before the client can retry the request.
         for other in self.registries:
             for _ in range(1 + repeats):
                 other.merge(*registry.views())
@@ -109,7 +109,7 @@
 
     @rule(at=integers(0, 2))
     def send_read(self, at):
-        """Run the read with success, and announce it as a report's `cleared` does."""
+        """Record a successful read, and announce it as a report's `cleared` does."""
         self.read_is_clear = True
         self.registries[at].succeeded(READ)
         for name in self.registries[at].cleared():
--- a/ebonybend/steering/weights.py
+++ b/ebonybend/steering/weights.py
@@ -1,4 +1,4 @@
-"""What a service's callers weigh against each other: latency and headroom."""
+"""Weights of latency and headroom when a server or domain is chosen."""
 
 from attrs import frozen
 
@@ -7,14 +7,14 @@
 
 @frozen
 class Weights:
-    """The weights of a contract, or those that a rule puts in their place."""
+    """The weights of a contract, or those of a rule that replaces them."""
 
     latency: float
     headroom: float
 
     @property
     def headroom_share(self) -> float:
-        """Return the part of headroom in both, 0 to 1; one half without weights."""
+        """Return headroom's share of the total, 0 to 1; one half if both are 0."""
         total = self.latency + self.headroom
         return self.headroom / total if total > 0 else EQUAL_SHARE
 
