--- a/ebonybend/steering/choice.py
+++ b/ebonybend/steering/choice.py
@@ -65,7 +65,7 @@
         # Time of the last measurement.
         self.observed_at: dict[str, float] = {}
 
-    def observe(self, server: str, latency_s: float) -> None:
+    def record_latency(self, server: str, latency_s: float) -> None:
         """Add the latency of an answer to a server's averages."""
         known = self.latencies.setdefault(server, latency_s)
         deviation = self.deviations.setdefault(server, 0.0)
@@ -78,7 +78,7 @@
         """Return the average latency of a server, 0 if it was not measured."""
         return self.latencies.get(server, 0.0) * 1000
 
-    def needed_s(self, server: str) -> float:
+    def tail_latency_s(self, server: str) -> float:
         """Return the latency that few answers exceed, 0 if the last one is stale."""
         observed_at = self.observed_at.get(server)
         # A stale latency must not block the requests that would measure a new one.
@@ -278,20 +278,20 @@
         scores = self._scores(query)
         return tuple(sorted(scores, key=lambda s: self._order(query, s)))
 
-    def started(self, domain: str, service: str) -> None:
+    def record_request_start(self, domain: str, service: str) -> None:
         """Add a request to those in flight in a domain."""
         self._window(domain, service).in_flight += 1
 
-    def finished(self, domain: str, service: str) -> None:
+    def record_request_end(self, domain: str, service: str) -> None:
         """Remove an ended request from those in flight in a domain."""
         self._window(domain, service).in_flight -= 1
 
-    def admitted(self, domain: str, service: str) -> None:
+    def record_admission(self, domain: str, service: str) -> None:
         """Grow the window, by one for each full window of admitted requests."""
         window = self._window(domain, service)
         window.size = min(window.size + 1 / window.size, HIGHEST_WINDOW)
 
-    def refused(self, domain: str, service: str) -> None:
+    def record_refusal(self, domain: str, service: str) -> None:
         """Halve the window, once per burst of refusals."""
         window = self._window(domain, service)
         now = self.clock.monotonic()
