--- a/ebonybend/steering/admission.py
+++ b/ebonybend/steering/admission.py
@@ -29,7 +29,7 @@
     TIMEOUT = "timeout"
 
 
-class ServerGate:
+class ServerThrottle:
     """What reduces the in-flight limit of one backend server."""
 
     __slots__ = (
@@ -53,7 +53,7 @@
         self.failures = 0.0
         self.failed_at = now
 
-    def restart(self, now: float) -> None:
+    def begin_slow_start(self, now: float) -> None:
         """Begin slow start."""
         self.start_at = now
         self.successes = 0
@@ -65,20 +65,20 @@
     def __init__(self, ledger: SlotLedger, clock: Clock):
         self.ledger = ledger
         self.clock = clock
-        self.gates: dict[str, ServerGate] = {}
+        self.throttles: dict[str, ServerThrottle] = {}
         self.drained: frozenset[str] = frozenset()
 
     def limit(self, server: str) -> int:
         """Return the maximum number of requests in flight on a server."""
-        owned = self.ledger.owned(server)
-        if owned == 0 or server in self.drained:
+        owned_slots = self.ledger.owned_slots(server)
+        if owned_slots == 0 or server in self.drained:
             return 0
-        gate = self.gates.get(server) or self._gate(server)
-        if gate.state is not ServerState.READY:
-            return 1 if gate.state is ServerState.COLD else 0
-        if gate.start_at is None and gate.back_off_at is None:
-            return owned
-        return self._reduced_limit(server, gate, owned)
+        throttle = self.throttles.get(server) or self._throttle(server)
+        if throttle.state is not ServerState.READY:
+            return 1 if throttle.state is ServerState.COLD else 0
+        if throttle.start_at is None and throttle.back_off_at is None:
+            return owned_slots
+        return self._reduced_limit(server, throttle, owned_slots)
 
     def free_slots(self, server: str) -> int:
         """Return how many more requests a server may be sent now."""
@@ -94,75 +94,77 @@
     def release(self, server: str, result: ServerResult, latency_s: float) -> None:
         """Release a slot and adapt the server's limit to the request's result."""
         if result is ServerResult.SUCCESS:
-            self._succeeded(server)
+            self._record_success(server)
         elif result is ServerResult.SHED:
-            self._shed(server)
+            self._record_shed(server)
         else:
-            self._failed(server, result)
+            self._record_failure(server, result)
         self.ledger.record_request_end(server)
 
     def set_state(self, server: str, state: ServerState) -> None:
         """Set a server's state; begin slow start when it becomes ready."""
-        gate = self._gate(server)
-        if state is ServerState.READY and gate.state is not ServerState.READY:
-            gate.restart(self.clock.monotonic())
-        gate.state = state
+        throttle = self._throttle(server)
+        if state is ServerState.READY and throttle.state is not ServerState.READY:
+            throttle.begin_slow_start(self.clock.monotonic())
+        throttle.state = state
 
     def set_drained(self, names: Iterable[str]) -> None:
         """Set the servers that drain rules take out of use."""
         drained = frozenset(names)
         for name in self.drained - drained:
-            self._gate(name).restart(self.clock.monotonic())
+            self._throttle(name).begin_slow_start(self.clock.monotonic())
         self.drained = drained
 
     def failures(self, server: str) -> float:
         """Return the number of failures since the last success, decayed by age."""
-        gate = self.gates.get(server)
-        if gate is None or not gate.failures:
+        throttle = self.throttles.get(server)
+        if throttle is None or not throttle.failures:
             return 0.0
-        age_s = self.clock.monotonic() - gate.failed_at
-        return gate.failures * 0.5 ** (age_s / FAILURE_HALF_LIFE_S)
-
-    def _gate(self, server: str) -> ServerGate:
-        gate = self.gates.get(server)
-        if gate is None:
-            gate = ServerGate(self.clock.monotonic())
-            self.gates[server] = gate
-        return gate
-
-    def _reduced_limit(self, server: str, gate: ServerGate, owned: int) -> int:
+        age_s = self.clock.monotonic() - throttle.failed_at
+        return throttle.failures * 0.5 ** (age_s / FAILURE_HALF_LIFE_S)
+
+    def _throttle(self, server: str) -> ServerThrottle:
+        throttle = self.throttles.get(server)
+        if throttle is None:
+            throttle = ServerThrottle(self.clock.monotonic())
+            self.throttles[server] = throttle
+        return throttle
+
+    def _reduced_limit(
+        self, server: str, throttle: ServerThrottle, owned_slots: int
+    ) -> int:
         now = self.clock.monotonic()
-        slots = max(1, self.ledger.slots(server))
-        limit = owned
-        if gate.start_at is not None:
-            allowed = 1 + gate.successes // slots
-            allowed += int((now - gate.start_at) / SLOW_START_STEP_S)
+        slots = max(1, self.ledger.total_slots(server))
+        limit = owned_slots
+        if throttle.start_at is not None:
+            allowed = 1 + throttle.successes // slots
+            allowed += int((now - throttle.start_at) / SLOW_START_STEP_S)
             limit = min(limit, allowed)
             if allowed >= slots:
-                gate.start_at = None
-        if gate.back_off_at is not None:
-            allowed = gate.back_off_limit
-            allowed += int((now - gate.back_off_at) / BACK_OFF_STEP_S)
+                throttle.start_at = None
+        if throttle.back_off_at is not None:
+            allowed = throttle.back_off_limit
+            allowed += int((now - throttle.back_off_at) / BACK_OFF_STEP_S)
             limit = min(limit, allowed)
             if allowed >= slots:
-                gate.back_off_at = None
+                throttle.back_off_at = None
         return limit
 
-    def _succeeded(self, server: str) -> None:
-        gate = self._gate(server)
-        gate.successes += 1
-        gate.failures = 0.0
+    def _record_success(self, server: str) -> None:
+        throttle = self._throttle(server)
+        throttle.successes += 1
+        throttle.failures = 0.0
 
-    def _shed(self, server: str) -> None:
+    def _record_shed(self, server: str) -> None:
         limit = self.limit(server)
-        gate = self._gate(server)
-        gate.back_off_limit = max(1, limit // 2)
-        gate.back_off_at = self.clock.monotonic()
-
-    def _failed(self, server: str, result: ServerResult) -> None:
-        gate = self._gate(server)
-        gate.failures = self.failures(server) + 1
-        gate.failed_at = self.clock.monotonic()
+        throttle = self._throttle(server)
+        throttle.back_off_limit = max(1, limit // 2)
+        throttle.back_off_at = self.clock.monotonic()
+
+    def _record_failure(self, server: str, result: ServerResult) -> None:
+        throttle = self._throttle(server)
+        throttle.failures = self.failures(server) + 1
+        throttle.failed_at = self.clock.monotonic()
         # A lost server restarts with cold caches.
         if result is not ServerResult.TIMEOUT:
-            gate.restart(gate.failed_at)
+            throttle.begin_slow_start(throttle.failed_at)
--- a/ebonybend/steering/choice.py
+++ b/ebonybend/steering/choice.py
@@ -14,23 +14,23 @@
 # Weight of a new latency in the moving average; about the last ten requests count.
 LATENCY_GAIN = 0.2
 # Few answers take longer than the average plus this many mean deviations.
-DEVIATIONS = 2.0
+TAIL_DEVIATIONS = 2.0
 # Latency that is assumed while no candidate has been measured.
-UNMEASURED_LATENCY_S = 0.02
+DEFAULT_LATENCY_S = 0.02
 # Factor on the latency of a full server when only headroom has weight. A larger one
 # would hide the weights of a contract that favours latency.
-USE_FACTOR = 4.0
+UTILISATION_FACTOR = 4.0
 # Servers with scores within this factor of the best are picked from at random, so that
 # the entries of a domain don't all choose the same server.
-NEAR_EQUAL = 1.05
+TIE_FACTOR = 1.05
 
 # A domain with an older view is chosen only when no other domain is usable.
-LAST_RESORT_MS = 15_000.0
+LAST_RESORT_AGE_MS = 15_000.0
 # Latency that counts as 1 in the score of a domain.
 LATENCY_UNIT_MS = 100.0
-FIRST_WINDOW = 4.0
-LOWEST_WINDOW = 1.0
-HIGHEST_WINDOW = 1000.0
+INITIAL_WINDOW = 4.0
+MIN_WINDOW = 1.0
+MAX_WINDOW = 1000.0
 # A burst of refusals halves the window once. Refusals arrive a round trip after
 # sending, which is up to 110 ms between regions.
 WINDOW_CUT_INTERVAL_S = 0.2
@@ -63,16 +63,16 @@
         # Moving average of the absolute difference from that average.
         self.deviations: dict[str, float] = {}
         # Time of the last measurement.
-        self.observed_at: dict[str, float] = {}
+        self.measured_at: dict[str, float] = {}
 
     def record_latency(self, server: str, latency_s: float) -> None:
         """Add the latency of an answer to a server's averages."""
-        known = self.latencies.setdefault(server, latency_s)
+        average_s = self.latencies.setdefault(server, latency_s)
         deviation = self.deviations.setdefault(server, 0.0)
-        change = latency_s - known
-        self.latencies[server] = known + LATENCY_GAIN * change
+        change = latency_s - average_s
+        self.latencies[server] = average_s + LATENCY_GAIN * change
         self.deviations[server] = deviation + LATENCY_GAIN * (abs(change) - deviation)
-        self.observed_at[server] = self.clock.monotonic()
+        self.measured_at[server] = self.clock.monotonic()
 
     def latency_ms(self, server: str) -> float:
         """Return the average latency of a server, 0 if it was not measured."""
@@ -80,14 +80,14 @@
 
     def tail_latency_s(self, server: str) -> float:
         """Return the latency that few answers exceed, 0 if the last one is stale."""
-        observed_at = self.observed_at.get(server)
+        measured_at = self.measured_at.get(server)
         # A stale latency must not block the requests that would measure a new one.
-        if observed_at is None or self._age_ms(observed_at) > FRESH_MS:
+        if measured_at is None or self._age_ms(measured_at) > FRESH_MS:
             return 0.0
-        return self.latencies[server] + DEVIATIONS * self.deviations[server]
+        return self.latencies[server] + TAIL_DEVIATIONS * self.deviations[server]
 
-    def _age_ms(self, observed_at: float) -> float:
-        return (self.clock.monotonic() - observed_at) * 1000
+    def _age_ms(self, measured_at: float) -> float:
+        return (self.clock.monotonic() - measured_at) * 1000
 
     def choose(
         self,
@@ -100,16 +100,16 @@
         Headroom's share of the contract's weights, 0 to 1, decides between a fast
         server and an idle one.
         """
-        free = self._free(candidates, exclude)
+        free = self._with_free_slots(candidates, exclude)
         if not free:
             return None
         scored = self._score(free, headroom_share)
-        worst = min(scored)[0] * NEAR_EQUAL
-        near = [index for score, index in scored if score <= worst]
-        pick = near[0]
-        if len(near) > 1:
-            pick = near[int(self.random.random() * len(near))]
-        return free[pick][0]
+        max_score = min(scored)[0] * TIE_FACTOR
+        tied = [index for score, index in scored if score <= max_score]
+        chosen = tied[0]
+        if len(tied) > 1:
+            chosen = tied[int(self.random.random() * len(tied))]
+        return free[chosen][0]
 
     def explain(
         self,
@@ -138,7 +138,7 @@
         ]
         return tuple(sorted(scores, key=lambda s: (not s.free, s.score)))
 
-    def _free(
+    def _with_free_slots(
         self, candidates: tuple[ServerView, ...], exclude: Collection[str]
     ) -> list[tuple[ServerView, int, int]]:
         """Return the candidates with a free slot, their in-flight count and limit."""
@@ -166,15 +166,15 @@
             latencies[entry[0].name] for entry in entries if entry[0].name in latencies
         ]
         # An unmeasured server is scored as the fastest, so that it receives requests.
-        unmeasured = min(measured, default=UNMEASURED_LATENCY_S)
+        unmeasured = min(measured, default=DEFAULT_LATENCY_S)
         weights = self._weights(entries)
         failures_of = self.admission.failures
         scored = []
         for index, (server, in_flight, limit) in enumerate(entries):
             name = server.name
-            use = USE_FACTOR * in_flight / (limit or 1)
+            utilisation_factor = UTILISATION_FACTOR * in_flight / (limit or 1)
             score = latencies.get(name, unmeasured)
-            score *= 1 + headroom_share * (use - 1)
+            score *= 1 + headroom_share * (utilisation_factor - 1)
             if server.reported_in_flight and server.slots:
                 load = server.reported_in_flight / server.slots
                 load *= age_weight(server.reported_age_ms)
@@ -196,10 +196,10 @@
         return weights
 
     def _weight(self, server: ServerView, now: float) -> float:
-        observed_at = self.observed_at.get(server.name)
-        if observed_at is None:
+        measured_at = self.measured_at.get(server.name)
+        if measured_at is None:
             return age_weight(server.reported_age_ms)
-        own_age_ms = (now - observed_at) * 1000
+        own_age_ms = (now - measured_at) * 1000
         return age_weight(min(server.reported_age_ms, own_age_ms))
 
 
@@ -253,7 +253,7 @@
     __slots__ = ("size", "in_flight", "cut_at")
 
     def __init__(self):
-        self.size = FIRST_WINDOW
+        self.size = INITIAL_WINDOW
         self.in_flight = 0
         self.cut_at = float("-inf")
 
@@ -271,12 +271,12 @@
         usable = [s for s in self._scores(query) if s.usable]
         if not usable:
             return None
-        return min(usable, key=lambda s: self._order(query, s))
+        return min(usable, key=lambda s: self._sort_key(query, s))
 
     def explain(self, query: DomainQuery) -> tuple[DomainScore, ...]:
         """Return the scores of all domains, best first."""
         scores = self._scores(query)
-        return tuple(sorted(scores, key=lambda s: self._order(query, s)))
+        return tuple(sorted(scores, key=lambda s: self._sort_key(query, s)))
 
     def record_request_start(self, domain: str, service: str) -> None:
         """Add a request to those in flight in a domain."""
@@ -289,7 +289,7 @@
     def record_admission(self, domain: str, service: str) -> None:
         """Grow the window, by one for each full window of admitted requests."""
         window = self._window(domain, service)
-        window.size = min(window.size + 1 / window.size, HIGHEST_WINDOW)
+        window.size = min(window.size + 1 / window.size, MAX_WINDOW)
 
     def record_refusal(self, domain: str, service: str) -> None:
         """Halve the window, once per burst of refusals."""
@@ -297,7 +297,7 @@
         now = self.clock.monotonic()
         if now - window.cut_at < WINDOW_CUT_INTERVAL_S:
             return
-        window.size = max(window.size / 2, LOWEST_WINDOW)
+        window.size = max(window.size / 2, MIN_WINDOW)
         window.cut_at = now
 
     def window(self, domain: str, service: str, table_age_ms: float = 0.0) -> int:
@@ -313,11 +313,11 @@
             self.windows[key] = window
         return window
 
-    def _order(self, query: DomainQuery, score: DomainScore) -> tuple:
+    def _sort_key(self, query: DomainQuery, score: DomainScore) -> tuple:
         """Return a sort key: usable, not too old, score, local domain, then random."""
         return (
             not score.usable,
-            score.age_ms > LAST_RESORT_MS,
+            score.age_ms > LAST_RESORT_AGE_MS,
             score.score,
             score.domain != query.own_domain,
             self.random.random(),
@@ -328,16 +328,16 @@
 
     def _score(self, query: DomainQuery, option: DomainOption) -> DomainScore:
         remote = option.domain != query.own_domain
-        state = self._window(option.domain, query.service)
+        window_state = self._window(option.domain, query.service)
         window = 0
         if remote:
             window = self.window(option.domain, query.service, query.table_age_ms)
-        reason = self._obstacle(query, option, state.in_flight, window)
+        reason = self._unusable_reason(query, option, window_state.in_flight, window)
         latency_ms = 2 * option.one_way_latency_ms + option.service_latency_ms
         latency_part = query.latency_weight * latency_ms / LATENCY_UNIT_MS
         # The view may not include this entry's own requests yet.
-        busy = max(option.in_flight, state.in_flight)
-        utilisation = busy / option.slots if option.slots else 1.0
+        estimated_in_flight = max(option.in_flight, window_state.in_flight)
+        utilisation = estimated_in_flight / option.slots if option.slots else 1.0
         load = utilisation**2 + option.link_utilisation**2
         headroom_part = query.headroom_weight * load
         return DomainScore(
@@ -346,13 +346,13 @@
             latency_part=latency_part,
             headroom_part=headroom_part,
             age_ms=option.age_ms,
-            in_flight=state.in_flight,
+            in_flight=window_state.in_flight,
             window=window,
             usable=not reason,
             reason=reason,
         )
 
-    def _obstacle(
+    def _unusable_reason(
         self, query: DomainQuery, option: DomainOption, in_flight: int, window: int
     ) -> str:
         """Return why a domain can't be used, or an empty string."""
--- a/ebonybend/steering/keys.py
+++ b/ebonybend/steering/keys.py
@@ -10,14 +10,14 @@
 
 EPOCH_S = 60.0
 # Keys of older epochs are not dispatched, and their records are dropped.
-KEPT_EPOCHS = 60
+RETENTION_EPOCHS = 60
 # A key is first used soon after it was issued. A key without a record is not dispatched
 # after this number of epochs, so refusals need not be stored for longer.
-FRESH_EPOCHS = 2
+FIRST_USE_EPOCHS = 2
 # The body of a larger answer isn't stored, only that the request was answered.
-KEPT_ANSWER_BYTES = 64 << 10
+MAX_STORED_BODY_BYTES = 64 << 10
 # Total size of the bodies stored by one process; above it the oldest are dropped.
-KEPT_TOTAL_BYTES = 64 << 20
+MAX_STORED_BYTES = 64 << 20
 # About 100 MB of records. Above it new keys are refused, because dropping a record
 # would allow a second dispatch.
 MAX_RECORDS = 200_000
@@ -73,9 +73,9 @@
     served_by: str
     region: str = ""
 
-    def within_limit(self) -> "StoredAnswer":
+    def without_large_body(self) -> "StoredAnswer":
         """Return the answer without its body if the body is too large."""
-        if self.body is not None and len(self.body) > KEPT_ANSWER_BYTES:
+        if self.body is not None and len(self.body) > MAX_STORED_BODY_BYTES:
             return evolve(self, body=None)
         return self
 
@@ -145,7 +145,7 @@
     state: _State = _State.RESERVED
     answer: StoredAnswer | None = None
     # Position in the log of final outcomes, or None.
-    logged: int | None = None
+    log_position: int | None = None
 
 
 @frozen
@@ -168,7 +168,7 @@
         self.sizes.append((key, size))
         self.total += size
         dropped = []
-        while self.total > KEPT_TOTAL_BYTES:
+        while self.total > MAX_STORED_BYTES:
             old, old_size = self.sizes.popleft()
             self.total -= old_size
             dropped.append(old)
@@ -182,7 +182,7 @@
         self.own = own
         self.incarnation = incarnation
         self.clock = clock
-        self.started = clock.monotonic()
+        self.started_at = clock.monotonic()
         self.sealed = False
         self._records: dict[str, _Record] = {}
         self._by_epoch: dict[int, set[str]] = {}
@@ -195,7 +195,7 @@
 
     def epoch(self) -> int:
         """Return the minutes since the start of this process."""
-        return int((self.clock.monotonic() - self.started) / EPOCH_S)
+        return int((self.clock.monotonic() - self.started_at) / EPOCH_S)
 
     def prefix(self) -> KeyPrefix:
         """Return the prefix of keys that are issued now."""
@@ -209,13 +209,13 @@
         """Reserve a key for a request, or return what is known about it."""
         self._purge()
         prefix = KeyPrefix.parse(key)
-        refusal = self._refusal(prefix)
+        refusal = self._refusal_state(prefix)
         if refusal is not None:
             return Reservation(refusal)
         record = self._records.get(key)
         if record is not None:
-            return self._known(record, fingerprint)
-        if prefix.epoch < self.epoch() - FRESH_EPOCHS:
+            return self._known_reservation(record, fingerprint)
+        if prefix.epoch < self.epoch() - FIRST_USE_EPOCHS:
             return Reservation(ReservationState.NOT_RUN)
         if self.sealed:
             return Reservation(ReservationState.SEALED)
@@ -225,17 +225,17 @@
         self._by_epoch.setdefault(prefix.epoch, set()).add(key)
         return Reservation(ReservationState.NEW)
 
-    def _refusal(self, prefix: KeyPrefix) -> ReservationState | None:
+    def _refusal_state(self, prefix: KeyPrefix) -> ReservationState | None:
         if not self.owns(prefix):
             return ReservationState.NOT_OWNED
         epoch = self.epoch()
         if prefix.epoch > epoch:
             return ReservationState.NOT_ISSUED
-        if prefix.epoch < epoch - KEPT_EPOCHS:
+        if prefix.epoch < epoch - RETENTION_EPOCHS:
             return ReservationState.EXPIRED
         return None
 
-    def _known(self, record: _Record, fingerprint: str) -> Reservation:
+    def _known_reservation(self, record: _Record, fingerprint: str) -> Reservation:
         if record.fingerprint != fingerprint:
             return Reservation(ReservationState.MISMATCH)
         if record.state is _State.FINISHED:
@@ -261,7 +261,7 @@
         if record is None or record.state is not _State.DISPATCHED:
             return
         record.state = _State.FINISHED
-        record.answer = answer.within_limit()
+        record.answer = answer.without_large_body()
         self._append_log(key, record)
         if record.answer.body is not None:
             for old in self._bodies.add(key, len(record.answer.body)):
@@ -280,7 +280,7 @@
             self._append_log(key, record)
 
     def _append_log(self, key: str, record: _Record) -> None:
-        record.logged = self._log_end
+        record.log_position = self._log_end
         self._log[self._log_end] = key
         self._log_end += 1
 
@@ -292,10 +292,14 @@
         record.state = _State.NOT_RUN
         self._refused_by_epoch.setdefault(record.epoch, []).append(key)
 
-    def outcomes_since(self, mark: int, most: int = 256) -> OutcomeBatch:
+    def outcomes_since(self, mark: int, max_count: int = 256) -> OutcomeBatch:
         """Return a limited number of outcomes from a log position on, oldest first."""
-        end = min(mark + most, self._log_end)
-        keys = [self._log[place] for place in range(mark, end) if place in self._log]
+        end = min(mark + max_count, self._log_end)
+        keys = [
+            self._log[position]
+            for position in range(mark, end)
+            if position in self._log
+        ]
         outcomes = tuple(OutcomeRecord(key, self._records[key].answer) for key in keys)
         return OutcomeBatch(outcomes, end)
 
@@ -312,25 +316,25 @@
                 record.state = _State.UNKNOWN
                 self._append_log(key, record)
         epoch = self.epoch()
-        final = sum(r.logged is not None for r in self._records.values())
-        oldest = max(0, epoch - KEPT_EPOCHS)
+        final = sum(r.log_position is not None for r in self._records.values())
+        oldest = max(0, epoch - RETENTION_EPOCHS)
         return SealedIncarnation(self.own, self.incarnation, oldest, epoch, final)
 
     def _purge(self) -> None:
         """Drop the records of expired epochs, and refusals sooner."""
         self._purge_refusals()
-        oldest = self.epoch() - KEPT_EPOCHS
+        oldest = self.epoch() - RETENTION_EPOCHS
         if oldest <= self._purged_epoch:
             return
         self._purged_epoch = oldest
         for epoch in [e for e in self._by_epoch if e < oldest]:
             for key in self._by_epoch.pop(epoch):
                 record = self._records.pop(key)
-                if record.logged is not None:
-                    del self._log[record.logged]
+                if record.log_position is not None:
+                    del self._log[record.log_position]
 
     def _purge_refusals(self) -> None:
-        oldest = self.epoch() - FRESH_EPOCHS
+        oldest = self.epoch() - FIRST_USE_EPOCHS
         for epoch in [e for e in self._refused_by_epoch if e < oldest]:
             for key in self._refused_by_epoch.pop(epoch):
                 del self._records[key]
--- a/ebonybend/steering/links.py
+++ b/ebonybend/steering/links.py
@@ -23,12 +23,12 @@
         # Bucket numbers and their bytes, oldest first.
         self.buckets: deque[list[int]] = deque()
         # An earlier incarnation may have used the budget of the current window.
-        self.open_from = self._bucket() + BUCKETS
+        self.first_bucket = self._bucket() + BUCKETS
 
     def charge(self, size: int) -> bool:
         """Count bytes that are about to be sent if they fit; return whether they do."""
         bucket = self._expire()
-        if bucket < self.open_from or self.used + size > self.budget:
+        if bucket < self.first_bucket or self.used + size > self.budget:
             return False
         if not self.buckets or self.buckets[-1][0] != bucket:
             self.buckets.append([bucket, 0])
@@ -41,16 +41,16 @@
         bucket = self._expire()
         if size > self.budget:
             return float("inf")
-        free_from = max(bucket, self.open_from)
+        fits_from = max(bucket, self.first_bucket)
         used = self.used
         for number, count in self.buckets:
             if used + size <= self.budget:
                 break
             used -= count
-            free_from = max(free_from, number + BUCKETS)
-        if free_from == bucket:
+            fits_from = max(fits_from, number + BUCKETS)
+        if fits_from == bucket:
             return 0.0
-        return max(0.0, free_from * BUCKET_S - self.clock.monotonic())
+        return max(0.0, fits_from * BUCKET_S - self.clock.monotonic())
 
     def chunk_bytes(self) -> int:
         """Return the size in which to charge and send a paced answer."""
@@ -59,7 +59,7 @@
     def utilisation(self) -> float:
         """Return the used part of the budget, 0 to 1."""
         bucket = self._expire()
-        if self.budget == 0 or bucket < self.open_from:
+        if self.budget == 0 or bucket < self.first_bucket:
             return 1.0
         return self.used / self.budget
 
--- a/ebonybend/steering/lookup.py
+++ b/ebonybend/steering/lookup.py
@@ -21,8 +21,8 @@
 # be cached. With 21 instances in a domain their shares differ by about 14%.
 BLOCK_GROUPS = 1024
 # A client falls back to a second instance of the domain, then to other domains.
-MOST_PER_DOMAIN = 2
-MOST_INSTANCES = 8
+MAX_PER_DOMAIN = 2
+MAX_INSTANCES = 8
 # 1024 groups for each of 25 failure domains.
 RANK_CACHE_SIZE = 25_600
 
@@ -44,16 +44,16 @@
     blocks = sorted(blocks)
     starts = array("I", (start for start, _ in blocks))
     numbers = array("H", (number for _, number in blocks))
-    return pack(ClientShard(sites, _little(starts), _little(numbers)))
+    return pack(ClientShard(sites, _little_endian(starts), _little_endian(numbers)))
 
 
-def _little(values: array) -> bytes:
+def _little_endian(values: array) -> bytes:
     if byteorder == "big":
         values.byteswap()
     return values.tobytes()
 
 
-def _values(kind: str, data: bytes) -> array:
+def _decode_array(kind: str, data: bytes) -> array:
     values = array(kind)
     values.frombytes(data)
     if byteorder == "big":
@@ -76,7 +76,7 @@
     @classmethod
     def from_shards(cls, shards: list[bytes]) -> "ClientMap":
         """Join shards in any order; raise BAD_REQUEST if they don't fit together."""
-        decoded = [_decode(shard) for shard in shards]
+        decoded = [_decode_shard(shard) for shard in shards]
         decoded = [shard for shard in decoded if shard[1]]
         decoded.sort(key=lambda shard: shard[1][0])
         for (sites, before, _), (other_sites, after, _) in pairwise(decoded):
@@ -104,12 +104,12 @@
         return len(starts) * starts.itemsize + len(numbers) * numbers.itemsize
 
 
-def _decode(shard: bytes) -> tuple[tuple[str, ...], array, array]:
+def _decode_shard(shard: bytes) -> tuple[tuple[str, ...], array, array]:
     parts = unpack(shard, ClientShard)
     if len(parts.starts) % 4 or len(parts.numbers) * 2 != len(parts.starts):
         raise _bad_shard("a shard is truncated")
-    starts = _values("I", parts.starts)
-    numbers = _values("H", parts.numbers)
+    starts = _decode_array("I", parts.starts)
+    numbers = _decode_array("H", parts.numbers)
     if not all(map(lt, starts, islice(starts, 1, None))):
         raise _bad_shard("block starts are not ascending")
     if numbers and max(numbers) >= len(parts.sites):
@@ -118,11 +118,11 @@
 
 
 @lru_cache(maxsize=RANK_CACHE_SIZE)
-def _ranked(names: tuple[bytes, ...], group: int) -> tuple[int, ...]:
+def _preferred_positions(names: tuple[bytes, ...], group: int) -> tuple[int, ...]:
     """Return the positions of the names that a group of blocks prefers, best first."""
     hashes = [xxh3_64_intdigest(name, group) for name in names]
     order = sorted(range(len(names)), key=hashes.__getitem__, reverse=True)
-    return tuple(order[:MOST_PER_DOMAIN])
+    return tuple(order[:MAX_PER_DOMAIN])
 
 
 @frozen
@@ -148,34 +148,36 @@
         self.ready = _ready_by_domain(table, drained)
         # Failure domains by latency, for each site. They change only with the
         # deployment, so a new ranker reuses those of the previous one.
-        self.orders: dict[str, tuple[str, ...]] = {}
+        self.domain_orders: dict[str, tuple[str, ...]] = {}
         if previous is not None and previous.table.deployment == table.deployment:
-            self.orders = previous.orders
+            self.domain_orders = previous.domain_orders
 
     def rank(self, client_ip: int) -> tuple[InstanceView, ...]:
         """Return the instances that a client should try, best first."""
         block = client_ip & BLOCK_MASK
         group = xxh3_64_intdigest(block.to_bytes(4)) % BLOCK_GROUPS
         found: list[InstanceView] = []
-        for domain in self._order(client_ip):
+        for domain in self._domain_order(client_ip):
             ready = self.ready.get(domain)
             if ready is None:
                 continue
-            found += [ready.views[index] for index in _ranked(ready.names, group)]
-            if len(found) >= MOST_INSTANCES:
+            found += [
+                ready.views[index] for index in _preferred_positions(ready.names, group)
+            ]
+            if len(found) >= MAX_INSTANCES:
                 break
-        return tuple(found[:MOST_INSTANCES])
+        return tuple(found[:MAX_INSTANCES])
 
-    def _order(self, client_ip: int) -> tuple[str, ...]:
+    def _domain_order(self, client_ip: int) -> tuple[str, ...]:
         number = self.client_map.site_of(client_ip)
         # A client at an unknown site is assumed to be near the instance it reached.
         site = self.table.failure_domain
         if number is not None:
             site = self.client_map.sites[number]
-        order = self.orders.get(site)
+        order = self.domain_orders.get(site)
         if order is None:
             order = self._domains_by_latency(site)
-            self.orders[site] = order
+            self.domain_orders[site] = order
         return order
 
     def _domains_by_latency(self, site: str) -> tuple[str, ...]:
--- a/ebonybend/steering/outcomes.py
+++ b/ebonybend/steering/outcomes.py
@@ -7,7 +7,7 @@
 from ebonybend.clock import Clock
 from ebonybend.steering.keys import (
     EPOCH_S,
-    KEPT_EPOCHS,
+    RETENTION_EPOCHS,
     BodyBudget,
     KeyPrefix,
     OutcomeRecord,
@@ -58,7 +58,7 @@
         self._expire(now)
         owner = self._incarnations.setdefault((instance, incarnation), _Incarnation())
         for record in records:
-            answer = record.answer.within_limit() if record.answer else None
+            answer = record.answer.without_large_body() if record.answer else None
             owner.outcomes[record.key] = (now, answer)
             if answer is not None and answer.body is not None:
                 for old in self._bodies.add(record.key, len(answer.body)):
@@ -107,15 +107,15 @@
 
     def _expire(self, now: float) -> None:
         """Drop old outcomes; a seal and its outcomes are dropped together."""
-        keep_s = KEPT_EPOCHS * EPOCH_S
+        retention_s = RETENTION_EPOCHS * EPOCH_S
         for name, owner in list(self._incarnations.items()):
             if owner.sealed is not None:
-                if now - owner.sealed_at > keep_s:
+                if now - owner.sealed_at > retention_s:
                     del self._incarnations[name]
                 continue
             while owner.outcomes:
                 key = next(iter(owner.outcomes))
-                if now - owner.outcomes[key][0] <= keep_s:
+                if now - owner.outcomes[key][0] <= retention_s:
                     break
                 del owner.outcomes[key]
             if not owner.outcomes:
--- a/ebonybend/steering/slots.py
+++ b/ebonybend/steering/slots.py
@@ -14,7 +14,7 @@
 
 # Covers the time between a run of a member's heartbeat loop and the receipt of its
 # heartbeat.
-MARGIN_S = 0.5
+HEARTBEAT_MARGIN_S = 0.5
 
 
 @frozen
@@ -42,7 +42,7 @@
     def __init__(self, now: float, acknowledged: bool):
         self.incarnation = 0
         self.sequence = 0
-        self.heard_at = now
+        self.last_seen_at = now
         self.released = False
         # It was released, sent heartbeats again and has not been acknowledged since.
         self.reclaiming = False
@@ -52,9 +52,9 @@
         self.last_refused_at: float | None = None
         self.unlisted_since: float | None = None
 
-    def restart_evidence(self, now: float) -> None:
+    def reset_evidence(self, now: float) -> None:
         """Discard the observations from before a pause of this process."""
-        self.heard_at = now
+        self.last_seen_at = now
         self.first_refused_at = None
         self.last_refused_at = None
         if self.unlisted_since is not None:
@@ -80,15 +80,15 @@
         self.longest_deadline_s = longest_deadline_s
         # Requests of an earlier incarnation may run until this time.
         self.predecessor_done_at = now + hold_s + longest_deadline_s
-        self.silence_s = hold_s + longest_deadline_s + MARGIN_S
-        self.evidence_s = longest_deadline_s + MARGIN_S
+        self.min_silence_s = hold_s + longest_deadline_s + HEARTBEAT_MARGIN_S
+        self.min_evidence_age_s = longest_deadline_s + HEARTBEAT_MARGIN_S
         self.roster: frozenset[str] = frozenset()
         self.peers: dict[str, Peer] = {}
         self.servers: dict[str, int] = {}
-        self.listed: frozenset[str] | None = None
-        self.ticked_at = now
+        self.live_instances: frozenset[str] | None = None
+        self.last_tick_at = now
         # Only answers to heartbeats sent after this time count as acknowledgements.
-        self.synchronise_from = now
+        self.acknowledgements_since = now
         self.resumed_at = now
         self.sequence = 0
         self.releasing = False
@@ -96,7 +96,7 @@
         self._in_flight: dict[str, int] = {}
         self._total_in_flight = 0
         self._hashes: dict[tuple[str, int, str], int] = {}
-        self._shares: dict[str, int] = {}
+        self._owned_by_server: dict[str, int] = {}
         self._ready = False
 
     def set_roster(self, names: Iterable[str]) -> None:
@@ -108,11 +108,11 @@
         # doesn't wait for the joining one.
         for name in self.roster - self.peers.keys() - {self.own}:
             self.peers[name] = Peer(now, acknowledged=was_member)
-            self._note_listing(name, now)
+            self._update_listing(name, now)
         if self.own in self.roster and not was_member:
-            self._synchronise(now)
-        self._drop_former_members()
-        self._members_changed()
+            self._require_acknowledgements(now)
+        self._remove_former_members()
+        self._reassign_slots()
 
     def set_servers(self, servers: Mapping[str, int]) -> None:
         """Set the number of slots of each backend server of the failure domain."""
@@ -120,22 +120,22 @@
             return
         self.servers = dict(servers)
         self._hashes = {}
-        self._members_changed()
+        self._reassign_slots()
 
     def set_live_instances(self, live_names: Iterable[str]) -> None:
         """Set the instances that the platform lists as live."""
-        self.listed = frozenset(live_names)
+        self.live_instances = frozenset(live_names)
         now = self.clock.monotonic()
         for name in self.peers:
-            self._note_listing(name, now)
+            self._update_listing(name, now)
 
     def tick(self) -> None:
         """Record a run of the heartbeat loop; detect a pause and release dead peers."""
         now = self.clock.monotonic()
-        gap = now - self.ticked_at
-        self.ticked_at = now
-        if gap >= self.hold_s:
-            self._resume(now, gap)
+        since_last_tick_s = now - self.last_tick_at
+        self.last_tick_at = now
+        if since_last_tick_s >= self.hold_s:
+            self._resume(now, since_last_tick_s)
         self._release_dead(now)
 
     def heartbeat(self) -> Heartbeat:
@@ -153,12 +153,14 @@
         now = self.clock.monotonic()
         if heartbeat.name == self.own and heartbeat.incarnation > self.incarnation:
             self.superseded = True
-            self._check_ready()
+            self._update_ready()
         # After a pause the receive buffers may hold messages from before the pause.
         may_release = now - self.resumed_at >= self.hold_s
         current = self._update_peer(heartbeat, may_release)
         peer = self.peers.get(heartbeat.name)
-        acknowledges = current and heartbeat.name in self.roster and self._fits()
+        acknowledges = (
+            current and heartbeat.name in self.roster and self._requests_fit()
+        )
         if acknowledges:
             peer.reclaiming = False
         self.sequence += 1
@@ -178,14 +180,14 @@
             self.superseded = True
         # A late answer may have been sent before the peer released this process.
         late = self.clock.monotonic() - sent_at >= self.hold_s
-        valid = sent_at >= self.synchronise_from and not late
+        valid = sent_at >= self.acknowledgements_since and not late
         if self._update_peer(answer, may_release=valid):
             peer = self.peers[answer.name]
             if answer.reclaiming:
                 peer.acknowledged = False
             if answer.acknowledges and valid:
                 peer.acknowledged = True
-        self._check_ready()
+        self._update_ready()
 
     def record_refused_connection(self, name: str) -> None:
         """Record that a peer's port refused a connection."""
@@ -207,37 +209,37 @@
         self._in_flight[server] -= 1
         self._total_in_flight -= 1
 
-    def owned(self, server: str) -> int:
+    def owned_slots(self, server: str) -> int:
         """Return the number of a server's slots that this process may use now."""
-        if not self._ready or self.clock.monotonic() - self.ticked_at >= self.hold_s:
+        if not self._ready or self.clock.monotonic() - self.last_tick_at >= self.hold_s:
             return 0
-        return self._shares.get(server, 0)
+        return self._owned_by_server.get(server, 0)
 
     def in_flight(self, server: str) -> int:
         """Return the number of requests that this process has on a server."""
         return self._in_flight.get(server, 0)
 
-    def slots(self, server: str) -> int:
+    def total_slots(self, server: str) -> int:
         """Return the number of slots that a server has for all members."""
         return self.servers.get(server, 0)
 
     def release(self) -> None:
         """Stop owning slots; heartbeats report it once no request is in flight."""
         self.releasing = True
-        self._check_ready()
+        self._update_ready()
 
     def is_released(self) -> bool:
         """Return whether this instance has no request in flight and starts no more."""
-        settled = self.clock.monotonic() >= self.predecessor_done_at
+        predecessor_done = self.clock.monotonic() >= self.predecessor_done_at
         stopping = self.releasing or self.own not in self.roster
-        return stopping and settled and self._total_in_flight == 0
+        return stopping and predecessor_done and self._total_in_flight == 0
 
     def members(self) -> tuple[str, ...]:
         """Return the names that own slots in this process's view, sorted."""
         live = {name for name, peer in self.peers.items() if not peer.released}
         return tuple(sorted(live | (self.roster & {self.own})))
 
-    def waiting_for(self) -> tuple[str, ...]:
+    def unacknowledged_members(self) -> tuple[str, ...]:
         """Return the members whose acknowledgement is outstanding, sorted."""
         return tuple(
             sorted(
@@ -247,9 +249,9 @@
             )
         )
 
-    def _note_listing(self, name: str, now: float) -> None:
+    def _update_listing(self, name: str, now: float) -> None:
         peer = self.peers[name]
-        if self.listed is None or name in self.listed:
+        if self.live_instances is None or name in self.live_instances:
             peer.unlisted_since = None
         elif peer.unlisted_since is None:
             peer.unlisted_since = now
@@ -259,11 +261,11 @@
         peer = self.peers.get(message.name)
         if peer is None:
             return False
-        mark = (message.incarnation, message.sequence)
-        if mark <= (peer.incarnation, peer.sequence):
+        message_version = (message.incarnation, message.sequence)
+        if message_version <= (peer.incarnation, peer.sequence):
             return False
-        peer.incarnation, peer.sequence = mark
-        peer.heard_at = self.clock.monotonic()
+        peer.incarnation, peer.sequence = message_version
+        peer.last_seen_at = self.clock.monotonic()
         peer.first_refused_at = None
         peer.last_refused_at = None
         if message.released and may_release:
@@ -272,7 +274,7 @@
             # It uses no slot until this process acknowledges it.
             peer.released = False
             peer.reclaiming = True
-            self._members_changed()
+            self._reassign_slots()
         return not message.released
 
     def _set_released(self, peer: Peer) -> None:
@@ -280,27 +282,27 @@
             return
         peer.released = True
         peer.acknowledged = True
-        self._drop_former_members()
-        self._members_changed()
+        self._remove_former_members()
+        self._reassign_slots()
 
-    def _resume(self, now: float, gap: float) -> None:
+    def _resume(self, now: float, pause_s: float) -> None:
         # A released member's replacement that started during a short pause still waits
         # for acknowledgements. After a long pause, or two close together, it may own
         # slots.
-        steady = now - gap - self.resumed_at >= self.silence_s
-        keep_released = steady and gap < self.longest_deadline_s
+        no_recent_pause = now - pause_s - self.resumed_at >= self.min_silence_s
+        keep_released = no_recent_pause and pause_s < self.longest_deadline_s
         self.resumed_at = now
         for peer in self.peers.values():
-            peer.restart_evidence(now)
+            peer.reset_evidence(now)
             if peer.released and not keep_released:
                 peer.released = False
                 peer.reclaiming = True
-        self._synchronise(now)
-        self._members_changed()
+        self._require_acknowledgements(now)
+        self._reassign_slots()
 
-    def _synchronise(self, now: float) -> None:
+    def _require_acknowledgements(self, now: float) -> None:
         """Require a new acknowledgement from each member that is not released."""
-        self.synchronise_from = now
+        self.acknowledgements_since = now
         for peer in self.peers.values():
             peer.acknowledged = peer.released
 
@@ -312,7 +314,7 @@
         ]
         for peer in dead:
             self._set_released(peer)
-        self._check_ready()
+        self._update_ready()
 
     def _is_dead(self, peer: Peer, now: float) -> bool:
         """Return whether a peer is silent and another source shows it as dead.
@@ -320,30 +322,30 @@
         The evidence must be older than the longest deadline, because a partitioned peer
         may have sent requests until it died.
         """
-        if now - peer.heard_at < self.silence_s:
+        if now - peer.last_seen_at < self.min_silence_s:
             return False
         unlisted = peer.unlisted_since
-        if unlisted is not None and now - unlisted >= self.evidence_s:
+        if unlisted is not None and now - unlisted >= self.min_evidence_age_s:
             return True
         if peer.first_refused_at is None:
             return False
         still_refused = now - peer.last_refused_at < self.hold_s
-        return still_refused and now - peer.first_refused_at >= self.evidence_s
+        return still_refused and now - peer.first_refused_at >= self.min_evidence_age_s
 
-    def _drop_former_members(self) -> None:
+    def _remove_former_members(self) -> None:
         for name in [n for n, p in self.peers.items() if p.released]:
             if name not in self.roster:
                 del self.peers[name]
 
-    def _members_changed(self) -> None:
+    def _reassign_slots(self) -> None:
         members = self.members()
-        self._shares = {
+        self._owned_by_server = {
             server: sum(
                 self._owner(server, slot, members) == self.own for slot in range(slots)
             )
             for server, slots in self.servers.items()
         }
-        self._check_ready()
+        self._update_ready()
 
     def _owner(self, server: str, slot: int, members: tuple[str, ...]) -> str | None:
         return max(
@@ -358,7 +360,7 @@
             self._hashes[key] = value
         return value
 
-    def _fits(self) -> bool:
+    def _requests_fit(self) -> bool:
         """Return whether all requests of this instance fit into the slots it owns.
 
         Requests of an earlier incarnation aren't counted, so the result is False until
@@ -367,11 +369,13 @@
         if self.clock.monotonic() < self.predecessor_done_at:
             return False
         return all(
-            count <= self._shares.get(server, 0)
+            count <= self._owned_by_server.get(server, 0)
             for server, count in self._in_flight.items()
         )
 
-    def _check_ready(self) -> None:
-        settled = self.clock.monotonic() >= self.predecessor_done_at
+    def _update_ready(self) -> None:
+        predecessor_done = self.clock.monotonic() >= self.predecessor_done_at
         stopped = self.releasing or self.superseded or self.own not in self.roster
-        self._ready = settled and not stopped and not self.waiting_for()
+        self._ready = (
+            predecessor_done and not stopped and not self.unacknowledged_members()
+        )
--- a/ebonybend/steering/suspects.py
+++ b/ebonybend/steering/suspects.py
@@ -13,7 +13,7 @@
 REFUSED_LIFETIME_S = 3600.0
 CRASHES_TO_REFUSE = 2
 # Bounds the memory when many different requests are in flight on crashing servers.
-MOST_SUSPECTS = 10_000
+MAX_SUSPECTS = 10_000
 # Several entries use one server, so the notice of a crash may arrive before this
 # entry's own connection to that server ends.
 SAME_CRASH_S = 1.0
@@ -84,25 +84,27 @@
         self.pardoned_at: dict[str, float] = {}
 
     def record_crash(
-        self, fingerprints: Iterable[str], alone: bool, server: str = ""
+        self, fingerprints: Iterable[str], isolated: bool, server: str = ""
     ) -> None:
         """Count a crash of a server for the requests that were running on it."""
         now = self.clock.monotonic()
         self._expire(now)
         # The same request may run several times on one server; it counts once.
         for name in set(fingerprints):
-            known = self._live(name, now) or Suspect(0, False, now)
-            same = server in known.servers and now - known.crashed_at < SAME_CRASH_S
-            known.crashes += 0 if same else 1
-            known.refused |= alone or known.crashes >= self.crashes_to_refuse
-            known.crashed_at = now
-            known.servers |= {server} if server else frozenset()
-            self.suspects[name] = known
+            suspect = self._current(name, now) or Suspect(0, False, now)
+            same_crash = (
+                server in suspect.servers and now - suspect.crashed_at < SAME_CRASH_S
+            )
+            suspect.crashes += 0 if same_crash else 1
+            suspect.refused |= isolated or suspect.crashes >= self.crashes_to_refuse
+            suspect.crashed_at = now
+            suspect.servers |= {server} if server else frozenset()
+            self.suspects[name] = suspect
 
     def record_success(self, name: str) -> None:
         """Clear a suspect that ran without a crash, unless it is refused."""
-        known = self.suspects.get(name)
-        if known is not None and not known.refused:
+        suspect = self.suspects.get(name)
+        if suspect is not None and not suspect.refused:
             self._clear(name)
 
     def pardon(self, name: str) -> None:
@@ -114,10 +116,10 @@
         """Return how a request may run."""
         if name not in self.suspects:
             return Verdict.ALLOW
-        known = self._live(name, self.clock.monotonic())
-        if known is None:
+        suspect = self._current(name, self.clock.monotonic())
+        if suspect is None:
             return Verdict.ALLOW
-        return Verdict.REFUSE if known.refused else Verdict.ISOLATED
+        return Verdict.REFUSE if suspect.refused else Verdict.ISOLATED
 
     def merge(self, *views: SuspectView) -> None:
         """Merge the suspects of other instances; order and repetition don't matter."""
@@ -127,11 +129,11 @@
             crashed_at = now - view.age_ms / 1000
             if crashed_at <= self._cleared_at(view):
                 continue
-            theirs = Suspect(
+            remote = Suspect(
                 view.crashes, view.refused, crashed_at, frozenset(view.servers)
             )
-            if now - crashed_at <= theirs.lifetime_s():
-                self._merge_one(view.fingerprint, theirs, now)
+            if now - crashed_at <= remote.lifetime_s():
+                self._merge_one(view.fingerprint, remote, now)
 
     def views(self) -> tuple[SuspectView, ...]:
         """Return the current suspects with the ages of their last crashes."""
@@ -140,56 +142,56 @@
         return tuple(
             SuspectView(
                 fingerprint=name,
-                crashes=known.crashes,
-                refused=known.refused,
-                age_ms=(now - known.crashed_at) * 1000,
-                servers=tuple(sorted(known.servers)),
+                crashes=suspect.crashes,
+                refused=suspect.refused,
+                age_ms=(now - suspect.crashed_at) * 1000,
+                servers=tuple(sorted(suspect.servers)),
             )
-            for name, known in self.suspects.items()
+            for name, suspect in self.suspects.items()
         )
 
     def cleared(self) -> tuple[str, ...]:
         """Return the fingerprints that were cleared and aren't suspected again."""
         return tuple(name for name in self.cleared_at if name not in self.suspects)
 
-    def _live(self, name: str, now: float) -> Suspect | None:
-        known = self.suspects.get(name)
-        if known is None or now - known.crashed_at > known.lifetime_s():
+    def _current(self, name: str, now: float) -> Suspect | None:
+        suspect = self.suspects.get(name)
+        if suspect is None or now - suspect.crashed_at > suspect.lifetime_s():
             return None
-        return known
+        return suspect
 
     def _cleared_at(self, view: SuspectView) -> float:
         """Return when a success or a pardon last cleared such a suspect."""
-        lifted = self.pardoned_at.get(view.fingerprint, float("-inf"))
+        pardoned = self.pardoned_at.get(view.fingerprint, float("-inf"))
         if view.refused:
-            return lifted
-        return max(lifted, self.cleared_at.get(view.fingerprint, float("-inf")))
+            return pardoned
+        return max(pardoned, self.cleared_at.get(view.fingerprint, float("-inf")))
 
     def _clear(self, name: str) -> None:
         self.suspects.pop(name, None)
         self.cleared_at[name] = self.clock.monotonic()
 
-    def _merge_one(self, name: str, theirs: Suspect, now: float) -> None:
-        ours = self._live(name, now)
-        if ours is None:
-            self.suspects[name] = theirs
+    def _merge_one(self, name: str, remote: Suspect, now: float) -> None:
+        local = self._current(name, now)
+        if local is None:
+            self.suspects[name] = remote
             return
         # Crashes on two servers that two instances saw are two crashes.
-        ours.servers |= theirs.servers
-        ours.crashes = max(ours.crashes, theirs.crashes, len(ours.servers))
-        ours.refused |= theirs.refused or ours.crashes >= self.crashes_to_refuse
-        ours.crashed_at = max(ours.crashed_at, theirs.crashed_at)
+        local.servers |= remote.servers
+        local.crashes = max(local.crashes, remote.crashes, len(local.servers))
+        local.refused |= remote.refused or local.crashes >= self.crashes_to_refuse
+        local.crashed_at = max(local.crashed_at, remote.crashed_at)
 
     def _expire(self, now: float) -> None:
         for name in list(self.suspects):
-            if self._live(name, now) is None:
+            if self._current(name, now) is None:
                 del self.suspects[name]
         _drop_older(self.cleared_at, now - SUSPECT_LIFETIME_S)
         _drop_older(self.pardoned_at, now - REFUSED_LIFETIME_S)
         self._drop_oldest()
 
     def _drop_oldest(self) -> None:
-        excess = len(self.suspects) - MOST_SUSPECTS
+        excess = len(self.suspects) - MAX_SUSPECTS
         if excess <= 0:
             return
         suspects = self.suspects
--- a/ebonybend/steering/tests/simulated_domain.py
+++ b/ebonybend/steering/tests/simulated_domain.py
@@ -12,7 +12,7 @@
 DEADLINE_S = 5.0
 TICK_S = 0.25
 # More losses in a row are simulated as a cut link.
-MOST_LOSSES = 3
+MAX_LOSSES_IN_A_ROW = 3
 
 
 class Process:
@@ -35,7 +35,7 @@
     def set_time(self, now):
         self.clock.now = self.offset + now * self.rate
 
-    def runs(self):
+    def is_running(self):
         return not self.dead and self.paused_at is None
 
 
@@ -46,21 +46,23 @@
         self.random = Random(seed)
         self.faulty = seed is not None
         self.now = 0.0
-        self.events, self.order = [], count()
+        self.events, self.event_numbers = [], count()
         self.incarnations = count(1)
         self.processes, self.current = [], {}
-        self.cuts, self.losses = set(), Counter()
+        self.cut_links, self.losses = set(), Counter()
         self.running = Counter()
         self.lists = [frozenset(names)]
-        self.versions = dict.fromkeys(names, 0)
-        self.received = dict.fromkeys(names, frozenset(names))
-        self.greedy = False
-        self.excess = []
+        self.version_sent = dict.fromkeys(names, 0)
+        self.received_list = dict.fromkeys(names, frozenset(names))
+        self.saturated = False
+        self.violations = []
         for name in names:
             self.start(name)
 
-    def at(self, delay, action, *arguments):
-        heappush(self.events, (self.now + delay, next(self.order), action, arguments))
+    def schedule(self, delay, action, *arguments):
+        heappush(
+            self.events, (self.now + delay, next(self.event_numbers), action, arguments)
+        )
 
     def run(self, seconds):
         end = self.now + seconds
@@ -74,7 +76,7 @@
     def start(self, name):
         self.current[name] = Process(self, name, next(self.incarnations))
         self.processes.append(self.current[name])
-        self.at(0.0, self.tick, self.current[name])
+        self.schedule(0.0, self.tick, self.current[name])
 
     def kill(self, process):
         process.dead = True
@@ -93,39 +95,39 @@
         process.paused_at, process.listed = None, True
         inbox, process.inbox = process.inbox, []
         for action, arguments in inbox:
-            self.at(self.random.choice([0, 0.001]), action, *arguments)
-        self.at(self.random.choice([0, 0.002]), self.tick, process)
+            self.schedule(self.random.choice([0, 0.001]), action, *arguments)
+        self.schedule(self.random.choice([0, 0.002]), self.tick, process)
         self.dispatch(process)
 
     def deliver_list(self, name, live):
         process = self.current[name]
-        before, self.received[name] = self.received[name], live
+        before, self.received_list[name] = self.received_list[name], live
         # Section 5.2 gives no bound when both the list and a link fail.
-        cut = (n for n in self.names if frozenset((name, n)) in self.cuts)
-        if any(self.misjudges(name, other) for other in cut):
-            self.received[name] = before
+        cut = (n for n in self.names if frozenset((name, n)) in self.cut_links)
+        if any(self.lacks_live_member(name, other) for other in cut):
+            self.received_list[name] = before
         process.set_time(self.now)
-        process.ledger.set_live_instances(self.received[name])
+        process.ledger.set_live_instances(self.received_list[name])
 
-    def misjudges(self, observer, name, both=False):
+    def lacks_live_member(self, observer, name, both=False):
         """Return whether the list that an observer received lacks a live member."""
-        if both and self.misjudges(name, observer):
+        if both and self.lacks_live_member(name, observer):
             return True
-        return not self.current[name].dead and name not in self.received[observer]
+        return not self.current[name].dead and name not in self.received_list[observer]
 
     def refresh_lists(self):
         """Update the platform's list and deliver delayed versions of it."""
         live = [p.name for p in self.current.values() if not p.dead and p.listed]
         self.lists.append(frozenset(live))
         for name in self.names:
-            if self.current[name].runs():
+            if self.current[name].is_running():
                 version = len(self.lists) - self.random.choice([1, 1, 2, 6])
-                self.versions[name] = max(self.versions[name], version)
-                self.deliver_list(name, self.lists[self.versions[name]])
-        self.at(2 * TICK_S, self.refresh_lists)
+                self.version_sent[name] = max(self.version_sent[name], version)
+                self.deliver_list(name, self.lists[self.version_sent[name]])
+        self.schedule(2 * TICK_S, self.refresh_lists)
 
     def tick(self, process):
-        if not process.runs():
+        if not process.is_running():
             return
         process.set_time(self.now)
         ledger = process.ledger
@@ -134,19 +136,19 @@
             if name != process.name:
                 self.send(process, name, ledger.heartbeat(), process.clock.monotonic())
         self.dispatch(process)
-        self.check()
-        self.at(TICK_S, self.tick, process)
+        self.check_slots()
+        self.schedule(TICK_S, self.tick, process)
 
     def send(self, process, name, message, sent_at):
         if self.is_lost(process.name, name):
             return
         target = self.current[name]
         if target.dead:
-            self.at(self.delay(), self.handle, process, self.refused, name)
+            self.schedule(self.delay(), self.handle, process, self.refused, name)
             return
         for _ in range(2 if self.faulty and self.random.random() < 0.05 else 1):
             arguments = (target, self.answer, process, message, sent_at)
-            self.at(self.delay(), self.handle, *arguments)
+            self.schedule(self.delay(), self.handle, *arguments)
 
     def handle(self, process, action, *arguments):
         if process.dead:
@@ -162,7 +164,7 @@
         answer = process.ledger.receive(message)
         if not self.is_lost(process.name, sender.name):
             arguments = (sender, self.acknowledge, answer, sent_at)
-            self.at(self.delay(), self.handle, *arguments)
+            self.schedule(self.delay(), self.handle, *arguments)
 
     def acknowledge(self, process, answer, sent_at):
         process.ledger.record_acknowledgement(answer, sent_at)
@@ -171,10 +173,10 @@
         process.ledger.record_refused_connection(name)
 
     def is_lost(self, source, target):
-        if frozenset((source, target)) in self.cuts:
+        if frozenset((source, target)) in self.cut_links:
             return True
         lost = self.faulty and self.random.random() < 0.15
-        lost = lost and self.losses[source, target] < MOST_LOSSES
+        lost = lost and self.losses[source, target] < MAX_LOSSES_IN_A_ROW
         self.losses[source, target] = self.losses[source, target] + 1 if lost else 0
         return lost
 
@@ -185,35 +187,41 @@
 
     def dispatch(self, process):
         """Fill a process's free slots with requests of up to the longest deadline."""
-        if not self.greedy or not process.runs():
+        if not self.saturated or not process.is_running():
             return
         process.set_time(self.now)
         ledger = process.ledger
         for server in self.servers:
-            while ledger.in_flight(server) < ledger.owned(server):
+            while ledger.in_flight(server) < ledger.owned_slots(server):
                 ledger.record_request_start(server)
                 self.running[server] += 1
                 duration = self.random.choice([0.02, 0.5, DEADLINE_S])
-                self.at(duration, self.finish, process, server)
-        self.check()
+                self.schedule(duration, self.finish, process, server)
+        self.check_slots()
 
     def finish(self, process, server):
         """End a request on the server, whether or not its sender is still alive."""
         self.running[server] -= 1
         self.handle(process, lambda sender: sender.ledger.record_request_end(server))
 
-    def check(self):
+    def check_slots(self):
         for server, slots in self.servers.items():
-            owned = sum(self.owned(p, server) for p in self.processes if p.runs())
-            if owned > slots or self.running[server] > slots:
-                self.excess.append((self.now, server, owned, self.running[server]))
-
-    def owned(self, process, server):
+            owned_slots = sum(
+                self.owned_slots(p, server) for p in self.processes if p.is_running()
+            )
+            if owned_slots > slots or self.running[server] > slots:
+                self.violations.append(
+                    (self.now, server, owned_slots, self.running[server])
+                )
+
+    def owned_slots(self, process, server):
         process.set_time(self.now)
-        return process.ledger.owned(server)
+        return process.ledger.owned_slots(server)
 
-    def total(self, name=None):
+    def total_owned(self, name=None):
         """Return the number of slots owned by a member, or by all members."""
         chosen = [self.current[name]] if name else self.current.values()
-        chosen = [process for process in chosen if process.runs()]
-        return sum(self.owned(p, server) for p in chosen for server in self.servers)
+        chosen = [process for process in chosen if process.is_running()]
+        return sum(
+            self.owned_slots(p, server) for p in chosen for server in self.servers
+        )
--- a/ebonybend/steering/tests/test_admission.py
+++ b/ebonybend/steering/tests/test_admission.py
@@ -5,7 +5,7 @@
 from ebonybend.world import ServerState
 
 
-def only_member(clock, slots):
+def sole_member_ledger(clock, slots):
     """Return the ledger of a domain's only entry, which owns all slots."""
     ledger = SlotLedger("a", 1, clock, 2.0, 5.0)
     ledger.set_roster(["a"])
@@ -21,11 +21,11 @@
     def setUp(self):
         super().setUp()
         self.clock = ManualClock()
-        self.ledger = only_member(self.clock, {"s": 4})
+        self.ledger = sole_member_ledger(self.clock, {"s": 4})
         self.admission = Admission(self.ledger, self.clock)
         self.admission.limit("s")
 
-    def settle(self, seconds=1.0):
+    def run_ticks(self, seconds=1.0):
         for _ in range(int(seconds / 0.25)):
             self.clock.advance(0.25)
             self.ledger.tick()
@@ -41,7 +41,7 @@
         limits = []
         for _ in range(4):
             limits.append(self.admission.limit("s"))
-            self.settle(0.25)
+            self.run_ticks(0.25)
         self.assertEqual([1, 2, 3, 4], limits)
 
     def test_slow_start_by_successes(self):
@@ -51,30 +51,30 @@
 
     def test_limit_is_never_exceeded(self):
         """Guards against more requests than slots."""
-        self.settle()
+        self.run_ticks()
         started = [self.admission.acquire("s") for _ in range(6)]
         self.assertEqual([True] * 4 + [False] * 2, started)
         self.assertEqual(0, self.admission.free_slots("s"))
 
     def test_shed_halves_then_recovers_one_per_second(self):
         """Guards against a full load on a server that sheds requests."""
-        self.settle()
+        self.run_ticks()
         self.finish(ServerResult.SHED)
         self.assertEqual(2, self.admission.limit("s"))
-        self.settle()
+        self.run_ticks()
         self.assertEqual(3, self.admission.limit("s"))
-        self.settle()
+        self.run_ticks()
         self.assertEqual(4, self.admission.limit("s"))
 
-    def test_repeated_sheds_keep_one_slot(self):
+    def test_repeated_sheds_leave_a_limit_of_one(self):
         """Guards against a server that is never tried again."""
-        self.settle()
+        self.run_ticks()
         self.finish(ServerResult.SHED, 5)
         self.assertEqual(1, self.admission.limit("s"))
 
-    def test_leaving_server_gets_nothing(self):
+    def test_unavailable_or_drained_server_gets_no_requests(self):
         """Guards against new requests on a server that drains or is down."""
-        self.settle()
+        self.run_ticks()
         for state, limit in [
             (ServerState.DRAINING, 0),
             (ServerState.DOWN, 0),
@@ -89,13 +89,13 @@
 
     def test_lost_server_starts_slowly(self):
         """Guards against a full load on a server that has just restarted."""
-        self.settle()
+        self.run_ticks()
         self.finish(ServerResult.LOST)
         self.assertEqual(1, self.admission.limit("s"))
         self.assertEqual(1, self.admission.failures("s"))
 
-    def test_paused_process_starts_nothing(self):
+    def test_paused_process_acquires_no_slot(self):
         """Guards against a slot that is used after its owner was paused."""
-        self.settle()
+        self.run_ticks()
         self.clock.advance(2.0)
         self.assertFalse(self.admission.acquire("s"))
--- a/ebonybend/steering/tests/test_choice.py
+++ b/ebonybend/steering/tests/test_choice.py
@@ -14,7 +14,7 @@
     ServerResult,
 )
 from ebonybend.steering.table import ServerView
-from ebonybend.steering.tests.test_admission import only_member
+from ebonybend.steering.tests.test_admission import sole_member_ledger
 from ebonybend.world import ServerState
 
 SERVERS = tuple(
@@ -27,7 +27,7 @@
     def setUp(self):
         super().setUp()
         self.clock = ManualClock()
-        self.ledger = only_member(self.clock, {s.name: s.slots for s in SERVERS})
+        self.ledger = sole_member_ledger(self.clock, {s.name: s.slots for s in SERVERS})
         self.admission = Admission(self.ledger, self.clock)
         self.chooser = ServerChooser(self.admission, self.clock, Random(1))
         for server in SERVERS:
@@ -64,7 +64,7 @@
         self.assertEqual("s1", chosen[0])
         self.assertIn(chosen[1], ("s2", "s3"))
 
-    def test_failing_server_is_avoided_then_tried_again(self):
+    def test_failing_server_is_avoided_then_retried(self):
         """Guards against preferring a server that fails fast, or never retrying it."""
         self.admission.acquire("s1")
         self.admission.release("s1", ServerResult.TIMEOUT, 0.001)
@@ -84,7 +84,7 @@
         )
         self.assertLess(stale, fresh)
 
-    def test_server_without_measurements_loses_weight(self):
+    def test_stale_measurements_reduce_a_servers_weight(self):
         """Guards against full weight for a server whose measurements stopped."""
         old = evolve(SERVERS[0], reported_age_ms=9000)
         for _ in range(9):
@@ -92,7 +92,7 @@
             self.ledger.tick()
         self.assertEqual({"s2", "s3"}, self.picks((old, *SERVERS[1:])))
 
-    def test_all_measurements_stopped_keeps_the_last_state(self):
+    def test_all_measurements_stale_keeps_equal_weights(self):
         """Guards against a fault of the entry that is attributed to the servers."""
         for _ in range(9):
             self.clock.advance(1)
@@ -109,9 +109,9 @@
         self.assertIsNone(self.chooser.choose(SERVERS, {"s1", "s2"}))
 
 
-NEAR = DomainOption("kingston-1", 0.0, 20.0, slots=16, in_flight=14)
-FAR = DomainOption("montego-1", 55.0, 20.0, slots=16, in_flight=2)
-QUERY = DomainQuery("rides", "kingston-1", (NEAR, FAR), 0.8, 0.2)
+LOCAL = DomainOption("kingston-1", 0.0, 20.0, slots=16, in_flight=14)
+REMOTE = DomainOption("montego-1", 55.0, 20.0, slots=16, in_flight=2)
+QUERY = DomainQuery("rides", "kingston-1", (LOCAL, REMOTE), 0.8, 0.2)
 
 
 class DomainWeightTest(TestWithScenarios, TestCase):
@@ -142,39 +142,41 @@
 
     def test_tie_goes_to_the_own_domain(self):
         """Guards against needless hops between equal domains."""
-        twins = (evolve(NEAR, domain="other"), NEAR)
+        equal_options = (evolve(LOCAL, domain="other"), LOCAL)
         for _ in range(20):
-            self.assertEqual("kingston-1", self.choose(*twins))
+            self.assertEqual("kingston-1", self.choose(*equal_options))
 
     def test_loaded_link_is_avoided(self):
         """Guards against a choice that ignores the link."""
-        other = evolve(FAR, domain="mandeville-1")
-        full = evolve(FAR, link_utilisation=0.9)
+        other = evolve(REMOTE, domain="mandeville-1")
+        full = evolve(REMOTE, link_utilisation=0.9)
         for _ in range(20):
             self.assertEqual("mandeville-1", self.choose(full, other))
 
-    def test_old_view_loses_weight_and_is_the_last_resort(self):
+    def test_stale_view_loses_weight_and_is_the_last_resort(self):
         """Guards against full weight for a domain that no longer reports."""
-        other = evolve(FAR, domain="mandeville-1", one_way_latency_ms=70.0)
-        self.assertEqual("montego-1", self.choose(FAR, other))
-        self.assertEqual("mandeville-1", self.choose(evolve(FAR, age_ms=9000), other))
-        lost = evolve(FAR, in_flight=0, age_ms=16_000)
-        self.assertEqual("mandeville-1", self.choose(lost, other))
-        self.assertEqual("montego-1", self.choose(lost))
+        other = evolve(REMOTE, domain="mandeville-1", one_way_latency_ms=70.0)
+        self.assertEqual("montego-1", self.choose(REMOTE, other))
+        self.assertEqual(
+            "mandeville-1", self.choose(evolve(REMOTE, age_ms=9000), other)
+        )
+        old_view = evolve(REMOTE, in_flight=0, age_ms=16_000)
+        self.assertEqual("mandeville-1", self.choose(old_view, other))
+        self.assertEqual("montego-1", self.choose(old_view))
 
     def test_full_domain_is_not_chosen(self):
         """Guards against overloading a remote domain."""
-        self.assertIsNone(self.choose(evolve(FAR, in_flight=16)))
-        self.assertIsNone(self.choose(evolve(FAR, slots=0)))
+        self.assertIsNone(self.choose(evolve(REMOTE, in_flight=16)))
+        self.assertIsNone(self.choose(evolve(REMOTE, slots=0)))
 
     def test_window_bounds_requests_in_flight(self):
         """Guards against more requests than another domain admits."""
         for _ in range(4):
-            self.assertEqual("montego-1", self.choose(FAR))
+            self.assertEqual("montego-1", self.choose(REMOTE))
             self.chooser.record_request_start("montego-1", "rides")
-        self.assertIsNone(self.choose(FAR))
+        self.assertIsNone(self.choose(REMOTE))
         self.chooser.record_request_end("montego-1", "rides")
-        self.assertEqual("montego-1", self.choose(FAR))
+        self.assertEqual("montego-1", self.choose(REMOTE))
 
     def test_window_grows_by_steps_and_shrinks_by_half(self):
         """Guards against a window that does not adapt to refusals."""
--- a/ebonybend/steering/tests/test_keys.py
+++ b/ebonybend/steering/tests/test_keys.py
@@ -14,9 +14,9 @@
 from ebonybend.errors import ErrorKind, SteeringError
 from ebonybend.steering.keys import (
     EPOCH_S,
-    FRESH_EPOCHS,
-    KEPT_ANSWER_BYTES,
-    KEPT_EPOCHS,
+    FIRST_USE_EPOCHS,
+    MAX_STORED_BODY_BYTES,
+    RETENTION_EPOCHS,
     KeyPrefix,
     KeyRegistry,
     ReservationState,
@@ -100,9 +100,9 @@
             if step == "finish":
                 registry.record_answer(key, ANSWER)
             elif step == "age":
-                clock.advance((FRESH_EPOCHS + 1) * EPOCH_S)
+                clock.advance((FIRST_USE_EPOCHS + 1) * EPOCH_S)
             elif step == "expire":
-                clock.advance((KEPT_EPOCHS + 1) * EPOCH_S)
+                clock.advance((RETENTION_EPOCHS + 1) * EPOCH_S)
             else:
                 getattr(registry, step)(key)
         self.assertIs(self.state, registry.reserve(key, "f").state)
@@ -125,15 +125,15 @@
         state = self.registry.reserve("a~7~0~x", "two").state
         self.assertIs(ReservationState.MISMATCH, state)
 
-    def test_first_use_long_after_the_key_was_given_out(self):
-        self.clock.advance((FRESH_EPOCHS + 1) * EPOCH_S)
+    def test_first_use_long_after_the_key_was_issued(self):
+        self.clock.advance((FIRST_USE_EPOCHS + 1) * EPOCH_S)
         state = self.registry.reserve("a~7~0~x").state
         self.assertIs(ReservationState.NOT_RUN, state)
 
-    def test_large_answer_is_not_kept(self):
+    def test_large_body_is_not_stored(self):
         self.registry.reserve("a~7~0~x", "f")
         self.registry.begin_dispatch("a~7~0~x")
-        large = StoredAnswer("f", 200, None, b"x" * (KEPT_ANSWER_BYTES + 1), "s")
+        large = StoredAnswer("f", 200, None, b"x" * (MAX_STORED_BODY_BYTES + 1), "s")
         self.registry.record_answer("a~7~0~x", large)
         self.assertIsNone(self.registry.reserve("a~7~0~x", "f").answer.body)
 
@@ -169,14 +169,14 @@
         self.mark = 0
         self.keys: list[str] = []
         # Dispatches per key that were not answered with "not run".
-        self.runs: dict[str, int] = {}
+        self.dispatches: dict[str, int] = {}
         self.running: set[str] = set()
         self.refused: set[str] = set()
         self.sealed = None
 
-    @rule(name=integers(0, 3), back=integers(0, 2))
-    def send(self, name, back):
-        epoch = max(0, self.registry.epoch() - back)
+    @rule(name=integers(0, 3), epochs_back=integers(0, 2))
+    def send(self, name, epochs_back):
+        epoch = max(0, self.registry.epoch() - epochs_back)
         key = f"a~7~{epoch}~{name}"
         if key not in self.keys:
             self.keys.append(key)
@@ -192,7 +192,7 @@
             return
         if self.registry.begin_dispatch(key):
             assert key not in self.refused, key
-            self.runs[key] = self.runs.get(key, 0) + 1
+            self.dispatches[key] = self.dispatches.get(key, 0) + 1
             self.running.add(key)
 
     @precondition(lambda self: self.running)
@@ -207,15 +207,15 @@
         else:
             self.registry.record_not_run(key)
             self.refused.add(key)
-            self.runs[key] -= 1
+            self.dispatches[key] -= 1
 
-    @rule(epochs=sampled_from([0.5, 1, 30, KEPT_EPOCHS + 1]))
+    @rule(epochs=sampled_from([0.5, 1, 30, RETENTION_EPOCHS + 1]))
     def advance(self, epochs):
         self.clock.advance(epochs * EPOCH_S)
 
-    @rule(most=integers(1, 3))
-    def replicate(self, most):
-        found = self.registry.outcomes_since(self.mark, most)
+    @rule(max_count=integers(1, 3))
+    def replicate(self, max_count):
+        found = self.registry.outcomes_since(self.mark, max_count)
         self.mark = found.mark
         self.store.add("a", 7, found.outcomes)
 
@@ -226,14 +226,14 @@
 
     @invariant()
     def runs_at_most_once(self):
-        assert all(count <= 1 for count in self.runs.values()), self.runs
+        assert all(count <= 1 for count in self.dispatches.values()), self.dispatches
 
     @invariant()
     def not_run_is_true(self):
         for key in self.keys:
             found = self.store.find(key, "f")
             if found is not None and found.state is KnownOutcomeState.NOT_RUN:
-                assert self.runs.get(key, 0) == 0, key
+                assert self.dispatches.get(key, 0) == 0, key
 
 
 class AtMostOnceTest(TestCase):
--- a/ebonybend/steering/tests/test_lookup.py
+++ b/ebonybend/steering/tests/test_lookup.py
@@ -71,7 +71,7 @@
         self.table = make_table()
         self.ranker = LookupRanker(self.table, self.client_map)
 
-    def first(self, ranker, count=500):
+    def first_choices(self, ranker, count=500):
         return {i: ranker.rank(CLIENT + 256 * i)[0].name for i in range(count)}
 
     def test_site_of_block(self):
@@ -89,7 +89,7 @@
 
     def test_blocks_are_spread_over_instances(self):
         """Guards against one instance that gets all clients of a site."""
-        counts = Counter(self.first(self.ranker).values())
+        counts = Counter(self.first_choices(self.ranker).values())
         self.assertEqual(3, len(counts))
         self.assertLess(max(counts.values()), 500 / 3 * 1.3)
 
@@ -102,8 +102,8 @@
             )
             table = evolve(self.table, instances=instances)
             ranker = LookupRanker(table, self.client_map, previous=self.ranker)
-            after = self.first(ranker)
-            for index, name in self.first(self.ranker).items():
+            after = self.first_choices(ranker)
+            for index, name in self.first_choices(self.ranker).items():
                 if name != "m1-0":
                     self.assertEqual(name, after[index])
             self.assertNotIn("m1-0", after.values())
@@ -111,4 +111,4 @@
     def test_drained_instance_is_not_listed(self):
         """Guards against new clients on an instance that a rule drains."""
         ranker = LookupRanker(self.table, self.client_map, drained={"m1-1"})
-        self.assertNotIn("m1-1", self.first(ranker).values())
+        self.assertNotIn("m1-1", self.first_choices(ranker).values())
--- a/ebonybend/steering/tests/test_suspects.py
+++ b/ebonybend/steering/tests/test_suspects.py
@@ -29,19 +29,19 @@
         self.assertEqual(4, len(names))
         self.assertEqual(32, len(POISON))
 
-    def test_crash_while_alone_refuses(self):
+    def test_crash_while_isolated_refuses(self):
         """Guards against a request that crashes one server after the other."""
-        self.registry.record_crash([POISON, READ], alone=False)
+        self.registry.record_crash([POISON, READ], isolated=False)
         self.assertIs(Verdict.ISOLATED, self.registry.verdict(POISON))
-        self.registry.record_crash([POISON], alone=True)
+        self.registry.record_crash([POISON], isolated=True)
         self.assertIs(Verdict.REFUSE, self.registry.verdict(POISON))
         self.registry.record_success(READ)
         self.assertIs(Verdict.ALLOW, self.registry.verdict(READ))
 
     def test_suspicion_ends_by_time_or_pardon(self):
         """Guards against requests that are refused permanently."""
-        self.registry.record_crash([READ], alone=False)
-        self.registry.record_crash([POISON], alone=True)
+        self.registry.record_crash([READ], isolated=False)
+        self.registry.record_crash([POISON], isolated=True)
         self.clock.advance(61)
         self.assertIs(Verdict.ALLOW, self.registry.verdict(READ))
         self.assertIs(Verdict.REFUSE, self.registry.verdict(POISON))
@@ -52,22 +52,22 @@
 
     def test_one_crash_seen_by_two_entries_counts_once(self):
         """Guards against a common read that is refused after a single crash."""
-        self.other.record_crash([READ], alone=False, server="s1")
+        self.other.record_crash([READ], isolated=False, server="s1")
         self.registry.merge(*self.other.views())
-        self.registry.record_crash([READ, READ], alone=False, server="s1")
+        self.registry.record_crash([READ, READ], isolated=False, server="s1")
         self.registry.merge(*self.other.views())
         self.assertIs(Verdict.ISOLATED, self.registry.verdict(READ))
 
     def test_two_crashes_seen_by_two_entries_refuse(self):
         """Guards against a merge that takes the larger count and so loses a crash."""
-        self.other.record_crash([POISON], alone=False, server="s1")
-        self.registry.record_crash([POISON], alone=False, server="s2")
+        self.other.record_crash([POISON], isolated=False, server="s1")
+        self.registry.record_crash([POISON], isolated=False, server="s2")
         self.registry.merge(*self.other.views())
         self.assertIs(Verdict.REFUSE, self.registry.verdict(POISON))
 
-    def test_old_news_does_not_return_after_a_success(self):
+    def test_late_notice_is_ignored_after_a_success(self):
         """Guards against a cleared request that a late message makes suspect again."""
-        self.registry.record_crash([READ], alone=False)
+        self.registry.record_crash([READ], isolated=False)
         old = self.registry.views()
         self.clock.advance(1)
         self.registry.record_success(READ)
@@ -95,12 +95,12 @@
         if verdict is Verdict.REFUSE:
             return
         self.crashes[poison] += 1
-        alone = verdict is Verdict.ISOLATED
-        beside = []
-        if not alone and registry.verdict(READ) is Verdict.ALLOW:
-            beside = [READ]
+        isolated = verdict is Verdict.ISOLATED
+        neighbours = []
+        if not isolated and registry.verdict(READ) is Verdict.ALLOW:
+            neighbours = [READ]
             self.read_is_clear = False
-        registry.record_crash([poison, *beside], alone, f"server of {at}")
+        registry.record_crash([poison, *neighbours], isolated, f"server of {at}")
         # The notice reaches every domain before the client can retry the request.
         for other in self.registries:
             for _ in range(1 + repeats):
