--- a/ebonybend/rules/check.py
+++ b/ebonybend/rules/check.py
@@ -32,13 +32,13 @@
     seconds since the epoch; it defaults to the system's time.
     """
     rules = tuple(rules)
-    moment = time() if now is None else now
+    effective_now = time() if now is None else now
     errors = [
         RuleError(rule.line, 1, message)
         for rule in rules
-        for message in _check_rule(rule, deployment, servers, moment)
+        for message in _check_rule(rule, deployment, servers, effective_now)
     ]
-    errors += _check_shares(rules)
+    errors += _check_traffic_shares(rules)
     return tuple(sorted(errors, key=lambda error: error.line))
 
 
@@ -62,7 +62,9 @@
 def _check_service(rule: Rule, deployment: Deployment) -> list[str]:
     if not isinstance(rule.body, WeightsRule | ShiftRule | CapRule | RefuseRule):
         return []
-    return _unknown("service", rule.body.service, [s.name for s in deployment.services])
+    return _check_known(
+        "service", rule.body.service, [s.name for s in deployment.services]
+    )
 
 
 def _check_regions(rule: Rule, deployment: Deployment) -> list[str]:
@@ -70,8 +72,8 @@
         return []
     regions = [region.name for region in deployment.regions]
     return [
-        *_unknown("region", rule.body.source, regions),
-        *_unknown("region", rule.body.target, regions),
+        *_check_known("region", rule.body.source, regions),
+        *_check_known("region", rule.body.target, regions),
     ]
 
 
@@ -84,10 +86,12 @@
     if body.target_kind == "instance":
         domains = deployment.failure_domains
         names = [name for domain in domains for name in domain.instances]
-        return _unknown("instance", body.name, names)
+        return _check_known("instance", body.name, names)
     if not servers:
         return []
-    return _unknown("backend server", body.name, [server.name for server in servers])
+    return _check_known(
+        "backend server", body.name, [server.name for server in servers]
+    )
 
 
 def _check_rate(rule: Rule) -> list[str]:
@@ -98,27 +102,27 @@
     return [f"its cap must be at least {MIN_RATE_PER_SECOND}/s"]
 
 
-def _unknown(what: str, name: str | None, known: list[str]) -> list[str]:
+def _check_known(what: str, name: str | None, known: list[str]) -> list[str]:
     if name is None or name in known:
         return []
-    return [f"unknown {what} {name!r}{_known_names(known)}"]
+    return [f"unknown {what} {name!r}{_known_names_hint(known)}"]
 
 
-def _known_names(known: list[str]) -> str:
+def _known_names_hint(known: list[str]) -> str:
     # A long list hides the message and rarely contains the intended name.
     return f"; known: {', '.join(sorted(known))}" if 0 < len(known) <= 20 else ""
 
 
-def _check_shares(rules: tuple[Rule, ...]) -> list[RuleError]:
+def _check_traffic_shares(rules: tuple[Rule, ...]) -> list[RuleError]:
     """Return an error for each shift that raises the sum of shares above 100%."""
     totals: defaultdict[tuple[str, str], int] = defaultdict(int)
     errors = []
     for rule in rules:
         if not isinstance(rule.body, ShiftRule):
             continue
-        place = rule.body.service, rule.body.source
-        totals[place] += round(rule.body.share * SHARE_STEPS)
-        if totals[place] > SHARE_STEPS:
-            message = f"shares of {place[0]} from {place[1]} sum to more than 100%"
+        origin = rule.body.service, rule.body.source
+        totals[origin] += round(rule.body.share * SHARE_STEPS)
+        if totals[origin] > SHARE_STEPS:
+            message = f"shares of {origin[0]} from {origin[1]} sum to more than 100%"
             errors.append(RuleError(rule.line, 1, message))
     return errors
--- a/ebonybend/rules/edit.py
+++ b/ebonybend/rules/edit.py
@@ -43,26 +43,28 @@
 
     The rule is matched by its identifying arguments; its numbers and end may differ.
     """
-    wanted = parse_rule(rule_text)
-    if isinstance(wanted, Failure):
-        message = f"{rule_text!r}: {wanted.failure()[0].message}"
+    parsed = parse_rule(rule_text)
+    if isinstance(parsed, Failure):
+        message = f"{rule_text!r}: {parsed.failure()[0].message}"
         return Failure(SteeringError(ErrorKind.INVALID_RULES, message))
-    key = rule_key(wanted.unwrap().body)
+    key = rule_key(parsed.unwrap().body)
     found = [rule for rule in parse_text(text).rules if rule_key(rule.body) == key]
     if not found:
         message = f"no rule {key!r} in the text"
         return Failure(SteeringError(ErrorKind.INVALID_RULES, message))
-    return Success(_without(text, found))
+    return Success(_without_rules(text, found))
 
 
 def remove_expired(text: str, now: float) -> tuple[str, tuple[Rule, ...]]:
     """Return the text without the rules whose end has passed, and those rules."""
-    over = [rule for rule in parse_text(text).rules if is_expired(rule, now)]
-    return _without(text, over), tuple(over)
+    expired = [rule for rule in parse_text(text).rules if is_expired(rule, now)]
+    return _without_rules(text, expired), tuple(expired)
 
 
-def _without(text: str, rules: list[Rule]) -> str:
+def _without_rules(text: str, rules: list[Rule]) -> str:
     """Return the text without the lines of some rules and of their comments."""
-    gone = {number for rule in rules for number in (rule.line - 1, rule.line)}
-    kept = [x for n, x in enumerate(split_lines(text), 1) if n not in gone]
-    return "\n".join(kept)
+    removed_lines = {number for rule in rules for number in (rule.line - 1, rule.line)}
+    remaining = [
+        x for n, x in enumerate(split_lines(text), 1) if n not in removed_lines
+    ]
+    return "\n".join(remaining)
--- a/ebonybend/rules/parse.py
+++ b/ebonybend/rules/parse.py
@@ -71,12 +71,12 @@
         return ParsedText((), (RuleError(1, 1, message),))
     rules: list[Rule] = []
     errors: list[RuleError] = []
-    above = ""
+    previous_line = ""
     for number, line in enumerate(split_lines(text), 1):
-        found = _parse_line(number, line, above)
-        above = line
+        found = _parse_line(number, line, previous_line)
+        previous_line = line
         if isinstance(found, Rule):
-            conflict = _contradiction(found, rules)
+            conflict = _find_conflict(found, rules)
             if conflict is None:
                 rules.append(found)
             else:
@@ -88,17 +88,17 @@
 
 def parse_rule(line: str) -> Result[Rule, tuple[RuleError, ...]]:
     """Parse one rule that is written without its comment, as line 1."""
-    found = _unprintable(1, line) or _parse_words(1, line)
+    found = _check_printable(1, line) or _parse_words(1, line)
     return Success(found) if isinstance(found, Rule) else Failure(tuple(found))
 
 
-def _parse_line(number: int, line: str, above: str) -> Rule | list[RuleError]:
+def _parse_line(number: int, line: str, previous_line: str) -> Rule | list[RuleError]:
     """Return the line's rule, or its errors; a line without a rule has none."""
-    errors = _unprintable(number, line)
+    errors = _check_printable(number, line)
     stripped = line.strip(" \t")
     if errors or not stripped or stripped.startswith("#"):
         return errors
-    comment = parse_comment(above)
+    comment = parse_comment(previous_line)
     if comment is None:
         column = len(line) - len(line.lstrip(" \t")) + 1
         message = f'a rule needs its own comment "{COMMENT_FORM}" on the line above'
@@ -111,7 +111,7 @@
     return evolve(found, author=comment.author, reason=comment.reason)
 
 
-def _unprintable(number: int, line: str) -> list[RuleError]:
+def _check_printable(number: int, line: str) -> list[RuleError]:
     """Return an error for the first unprintable character other than a tab."""
     for column, character in enumerate(line, 1):
         if character != "\t" and not character.isprintable():
@@ -136,7 +136,7 @@
         if problem is not None:
             offset, message = problem
             errors.append(RuleError(number, word.start() + offset + 1, message))
-    errors += _missing(number, column, kind, line)
+    errors += _check_required(number, column, kind, line)
     if errors:
         return errors
     until = values.pop(UNTIL.attribute, None)
@@ -144,10 +144,10 @@
         body = build_body(kind, values)
     except ValueError as error:
         return [RuleError(number, column, str(error))]
-    return _rule(number, body, until)
+    return _make_rule(number, body, until)
 
 
-def _rule(number: int, body: RuleBody, until: float | None) -> Rule:
+def _make_rule(number: int, body: RuleBody, until: float | None) -> Rule:
     text = canonical_text(body, until)
     return Rule(line=number, author="", reason="", text=text, body=body, until=until)
 
@@ -177,7 +177,7 @@
     return None
 
 
-def _missing(number: int, column: int, kind: str, line: str) -> list[RuleError]:
+def _check_required(number: int, column: int, kind: str, line: str) -> list[RuleError]:
     """Return an error for each required argument that the line lacks."""
     keys = {word.partition("=")[0] for word in line.split()}
     return [
@@ -187,7 +187,7 @@
     ]
 
 
-def _contradiction(rule: Rule, earlier: list[Rule]) -> RuleError | None:
+def _find_conflict(rule: Rule, earlier: list[Rule]) -> RuleError | None:
     """Return an error if a rule repeats or contradicts an earlier one."""
     key = rule_key(rule.body)
     for other in earlier:
@@ -197,13 +197,13 @@
         if rule_key(other.body) == key:
             message = f"contradicts line {other.line}, which also sets {key!r}"
             return RuleError(rule.line, 1, message)
-        if _reverses(rule.body, other.body):
+        if _is_opposite_shift(rule.body, other.body):
             message = f"contradicts line {other.line}, which shifts the other way"
             return RuleError(rule.line, 1, message)
     return None
 
 
-def _reverses(body: RuleBody, other: RuleBody) -> bool:
+def _is_opposite_shift(body: RuleBody, other: RuleBody) -> bool:
     """Return whether two shifts move a service's requests in opposite directions."""
     return (
         isinstance(body, ShiftRule)
--- a/ebonybend/rules/syntax.py
+++ b/ebonybend/rules/syntax.py
@@ -37,7 +37,7 @@
 
 def read_weight(text: str) -> float:
     """Return a weight; raise ValueError if it's invalid."""
-    steps = _steps(text, WEIGHT_STEPS) if _WEIGHT.fullmatch(text) else -1
+    steps = _to_steps(text, WEIGHT_STEPS) if _WEIGHT.fullmatch(text) else -1
     if not 0 <= steps <= WEIGHT_STEPS:
         raise ValueError("expected a number from 0 to 1 with at most 4 decimals")
     return steps / WEIGHT_STEPS
@@ -45,7 +45,7 @@
 
 def read_share(text: str) -> float:
     """Return a percentage as a fraction; raise ValueError if it's invalid."""
-    steps = _steps(text[:-1], 100) if _SHARE.fullmatch(text) else 0
+    steps = _to_steps(text[:-1], 100) if _SHARE.fullmatch(text) else 0
     if not 0 < steps <= SHARE_STEPS:
         raise ValueError("expected a share above 0% and up to 100%, for example 30%")
     return steps / SHARE_STEPS
@@ -99,23 +99,23 @@
     return moment.replace(tzinfo=None).isoformat(timespec="seconds") + "Z"
 
 
-def _steps(text: str, steps_per_unit: int) -> int:
+def _to_steps(text: str, steps_per_unit: int) -> int:
     """Return a decimal number in steps; its format was checked before."""
     return round(float(text) * steps_per_unit)
 
 
-def _decimal(steps: int, steps_per_unit: int) -> str:
+def _format_steps(steps: int, steps_per_unit: int) -> str:
     digits = len(str(steps_per_unit)) - 1
     whole, part = divmod(steps, steps_per_unit)
     return f"{whole}.{part:0{digits}d}".rstrip("0").rstrip(".")
 
 
 def _write_weight(value: float) -> str:
-    return _decimal(round(value * WEIGHT_STEPS), WEIGHT_STEPS)
+    return _format_steps(round(value * WEIGHT_STEPS), WEIGHT_STEPS)
 
 
 def _write_share(value: float) -> str:
-    return _decimal(round(value * SHARE_STEPS), 100) + "%"
+    return _format_steps(round(value * SHARE_STEPS), 100) + "%"
 
 
 def _write_rate(value: int) -> str:
@@ -191,16 +191,16 @@
     return RULE_KINDS[kind](**values)
 
 
-def _value(body: RuleBody, attribute: str) -> Any:
+def _argument_value(body: RuleBody, attribute: str) -> Any:
     if isinstance(body, DrainRule):
         return body.name if body.target_kind == attribute else None
     return getattr(body, attribute)
 
 
-def _words(body: RuleBody, only_identifying: bool) -> list[str]:
+def _rule_words(body: RuleBody, only_identifying: bool) -> list[str]:
     words = [kind_of(body)]
     for argument in ARGUMENTS[words[0]]:
-        value = _value(body, argument.attribute)
+        value = _argument_value(body, argument.attribute)
         if value is None or (only_identifying and not argument.identifies):
             continue
         words.append(f"{argument.key}={argument.write(value)}")
@@ -209,7 +209,7 @@
 
 def canonical_text(body: RuleBody, until: float | None = None) -> str:
     """Return the canonical text form of a rule, without its comment."""
-    words = _words(body, only_identifying=False)
+    words = _rule_words(body, only_identifying=False)
     if until is not None:
         words.append(f"until={write_time(until)}")
     return " ".join(words)
@@ -217,4 +217,4 @@
 
 def rule_key(body: RuleBody) -> str:
     """Return the kind and identifying arguments of a rule, without numbers and end."""
-    return " ".join(_words(body, only_identifying=True))
+    return " ".join(_rule_words(body, only_identifying=True))
--- a/ebonybend/rules/tests/test_check.py
+++ b/ebonybend/rules/tests/test_check.py
@@ -11,7 +11,7 @@
     Service,
 )
 
-WHY = "# Ben: test\n"
+COMMENT = "# Ben: test\n"
 NOW = 1_800_000_000.0
 DEPLOYMENT = Deployment(
     regions=(Region("A"), Region("B"), Region("C")),
@@ -24,7 +24,7 @@
 
 
 def check(*lines, servers=SERVERS):
-    text = "".join(f"{WHY}{line}\n" for line in lines)
+    text = "".join(f"{COMMENT}{line}\n" for line in lines)
     return check_rules(parse_rules(text).unwrap(), DEPLOYMENT, servers, NOW)
 
 
@@ -62,7 +62,7 @@
 class SharesTest(TestCase):
     """Guards against shifting more than all requests, and against rounding errors."""
 
-    def test_sum_above_all_is_refused_at_the_rule_that_exceeds(self):
+    def test_sum_above_100_percent_is_refused_at_the_exceeding_rule(self):
         shift = "shift service=s from=A to={} share={} cap=1/s"
         whole = shift.format("B", "70.01%"), shift.format("C", "29.99%")
         self.assertEqual((), check(*whole))
@@ -82,12 +82,12 @@
     """Guards against rules in force after their end, and loss of an older text."""
 
     def test_rules_end_at_their_time(self):
-        text = f"{WHY}drain backend=x until=2027-01-15T08:00:00Z\n"
+        text = f"{COMMENT}drain backend=x until=2027-01-15T08:00:00Z\n"
         self.assertEqual(1, len(compile_rules(text, NOW - 1)))
         self.assertEqual((), compile_rules(text, NOW))
 
-    def test_lines_that_are_not_understood_are_left_out(self):
-        text = f"{WHY}mirror service=s\n{WHY}drain backend=x\n"
+    def test_lines_with_errors_are_skipped(self):
+        text = f"{COMMENT}mirror service=s\n{COMMENT}drain backend=x\n"
         self.assertEqual(
             ["drain backend=x"], [rule.text for rule in compile_rules(text, NOW)]
         )
--- a/ebonybend/rules/tests/test_edit.py
+++ b/ebonybend/rules/tests/test_edit.py
@@ -25,7 +25,7 @@
     """Guards against an edit that changes other lines or can't be undone."""
 
     @given(RULES)
-    def test_added_rule_can_be_read_and_removed(self, rule):
+    def test_added_rule_can_be_parsed_and_removed(self, rule):
         text = add_rule(TEXT, rule.text, rule.author, rule.reason)
         found = parse_rules(text).unwrap()[-1]
         self.assertEqual(
@@ -34,7 +34,7 @@
         )
         self.assertEqual(TEXT, remove_rule(text, rule.text).unwrap())
 
-    def test_rule_is_found_whatever_its_figures_and_end(self):
+    def test_rule_is_found_with_other_numbers_and_end(self):
         text = remove_rule(TEXT, "cap to=B from=A rate=1/s").unwrap()
         self.assertEqual("".join(TEXT.splitlines(True)[:4]), text)
 
@@ -43,9 +43,9 @@
         self.assertIs(ErrorKind.INVALID_RULES, error.kind)
         self.assertIn("drain backend=x", error.message)
 
-    def test_rules_whose_end_has_passed_are_removed(self):
-        text, over = remove_expired(TEXT, 1_800_000_000.0)
-        self.assertEqual(["Ben"], [rule.author for rule in over])
+    def test_expired_rules_are_removed(self):
+        text, expired = remove_expired(TEXT, 1_800_000_000.0)
+        self.assertEqual(["Ben"], [rule.author for rule in expired])
         self.assertEqual("".join(TEXT.splitlines(True)[:4]), text)
 
 
--- a/ebonybend/rules/tests/test_parse.py
+++ b/ebonybend/rules/tests/test_parse.py
@@ -8,7 +8,7 @@
 from ebonybend.rules.parse import MAX_RULES_BYTES
 from ebonybend.rules.tests.strategies import RULE_LIKE_TEXTS, RULES
 
-WHY = "# Ben (operations): kernel update\n"
+COMMENT = "# Ben (operations): kernel update\n"
 SHIFT = "shift service=s from=A to=B share=30% cap=20/s"
 
 
@@ -24,8 +24,8 @@
     """Guards against input that makes the parser raise."""
 
     @given(one_of(text(), RULE_LIKE_TEXTS))
-    @example(WHY + "pardon fingerprint=" + "٣" * 32)
-    @example(WHY + "cap from=A to=B rate=" + "9" * 5000 + "/s")
+    @example(COMMENT + "pardon fingerprint=" + "٣" * 32)
+    @example(COMMENT + "cap from=A to=B rate=" + "9" * 5000 + "/s")
     def test_any_text_gives_a_result(self, rules_text):
         self.assertIsInstance(parse_rules(rules_text), Result)
 
@@ -38,14 +38,14 @@
         (
             "shared_comment",
             {
-                "text": f"{WHY}drain backend=x\n drain backend=y",
+                "text": f"{COMMENT}drain backend=x\n drain backend=y",
                 "at": (3, 2),
                 "say": "its own comment",
             },
         ),
         (
             "blank_between",
-            {"text": f"{WHY}\ndrain backend=x", "at": (3, 1), "say": "comment"},
+            {"text": f"{COMMENT}\ndrain backend=x", "at": (3, 1), "say": "comment"},
         ),
         (
             "no_reason",
@@ -55,33 +55,37 @@
             "header_is_no_author",
             {"text": "# revision: 4\ndrain backend=x", "at": (2, 1), "say": "comment"},
         ),
-        ("kind", {"text": f"{WHY}drian x=1", "at": (2, 1), "say": "unknown rule"}),
-        ("word", {"text": f"{WHY}{SHIFT} now", "at": (2, 48), "say": "key=value"}),
-        ("key", {"text": f"{WHY}{SHIFT} x=1", "at": (2, 48), "say": "no argument"}),
+        ("kind", {"text": f"{COMMENT}drian x=1", "at": (2, 1), "say": "unknown rule"}),
+        ("word", {"text": f"{COMMENT}{SHIFT} now", "at": (2, 48), "say": "key=value"}),
+        ("key", {"text": f"{COMMENT}{SHIFT} x=1", "at": (2, 48), "say": "no argument"}),
         (
             "twice",
-            {"text": f"{WHY}{SHIFT} to=C", "at": (2, 48), "say": "given twice"},
+            {"text": f"{COMMENT}{SHIFT} to=C", "at": (2, 48), "say": "given twice"},
         ),
         (
             "missing",
-            {"text": f"{WHY}cap from=A to=B", "at": (2, 1), "say": "needs rate="},
+            {"text": f"{COMMENT}cap from=A to=B", "at": (2, 1), "say": "needs rate="},
         ),
         (
             "share",
             {
-                "text": f"{WHY}shift service=s from=A to=B share=101% cap=1/s",
+                "text": f"{COMMENT}shift service=s from=A to=B share=101% cap=1/s",
                 "at": (2, 35),
                 "say": "share",
             },
         ),
         (
             "rate",
-            {"text": f"{WHY}cap from=A to=B rate=0.5/s", "at": (2, 22), "say": "whole"},
+            {
+                "text": f"{COMMENT}cap from=A to=B rate=0.5/s",
+                "at": (2, 22),
+                "say": "whole",
+            },
         ),
         (
             "until",
             {
-                "text": f"{WHY}drain backend=x until=2026-13-01T00:00:00Z",
+                "text": f"{COMMENT}drain backend=x until=2026-13-01T00:00:00Z",
                 "at": (2, 23),
                 "say": "UTC",
             },
@@ -89,7 +93,7 @@
         (
             "both_targets",
             {
-                "text": f"{WHY}drain instance=x backend=y",
+                "text": f"{COMMENT}drain instance=x backend=y",
                 "at": (2, 1),
                 "say": "one of",
             },
@@ -97,19 +101,19 @@
         (
             "no_weight",
             {
-                "text": f"{WHY}weights service=s latency=0 headroom=0",
+                "text": f"{COMMENT}weights service=s latency=0 headroom=0",
                 "at": (2, 1),
                 "say": "both be 0",
             },
         ),
         (
             "same_region",
-            {"text": f"{WHY}cap from=A to=A rate=1/s", "at": (2, 1), "say": "same"},
+            {"text": f"{COMMENT}cap from=A to=A rate=1/s", "at": (2, 1), "say": "same"},
         ),
         (
             "duplicate",
             {
-                "text": f"{WHY}drain backend=x\n{WHY}drain  backend=x",
+                "text": f"{COMMENT}drain backend=x\n{COMMENT}drain  backend=x",
                 "at": (4, 1),
                 "say": "same rule is on line 2",
             },
@@ -117,7 +121,7 @@
         (
             "contradiction",
             {
-                "text": f"{WHY}{SHIFT}\n{WHY}{SHIFT.replace('30', '40')}",
+                "text": f"{COMMENT}{SHIFT}\n{COMMENT}{SHIFT.replace('30', '40')}",
                 "at": (4, 1),
                 "say": "contradicts line 2",
             },
@@ -125,7 +129,7 @@
         (
             "to_and_fro",
             {
-                "text": f"{WHY}{SHIFT}\n{WHY}shift service=s from=B to=A"
+                "text": f"{COMMENT}{SHIFT}\n{COMMENT}shift service=s from=B to=A"
                 " share=1% cap=1/s",
                 "at": (4, 1),
                 "say": "the other way",
@@ -133,7 +137,7 @@
         ),
         (
             "invisible",
-            {"text": f"{WHY}drain\u00a0backend=x", "at": (2, 6), "say": "U+00A0"},
+            {"text": f"{COMMENT}drain\u00a0backend=x", "at": (2, 6), "say": "U+00A0"},
         ),
         (
             "size",
@@ -152,7 +156,7 @@
     """Guards against a report of the first error only."""
 
     def test_all_lines_and_words_are_reported(self):
-        rules_text = f"{WHY}cap from=? to=B rate=x\n\n{WHY}drain\n"
+        rules_text = f"{COMMENT}cap from=? to=B rate=x\n\n{COMMENT}drain\n"
         errors = parse_rules(rules_text).failure()
         places = [(error.line, error.column) for error in errors]
         self.assertEqual([(2, 10), (2, 22), (5, 1)], places)
--- a/ebonybend/steering/slots.py
+++ b/ebonybend/steering/slots.py
@@ -1,8 +1,8 @@
 """Assign the slots of backend servers to the entry instances of a failure domain.
 
 Slot i of a server belongs to the member with the highest rendezvous hash. Members are
-the instances on the failure domain's roster and those removed from it, until they are
-released.
+the instances that are on the failure domain's roster, or were removed from it, and that
+have not been released.
 """
 
 from collections.abc import Iterable, Mapping
--- a/ebonybend/steering/tests/simulated_domain.py
+++ b/ebonybend/steering/tests/simulated_domain.py
@@ -101,11 +101,11 @@
 
     def deliver_list(self, name, live):
         process = self.current[name]
-        before, self.received_list[name] = self.received_list[name], live
+        previous, self.received_list[name] = self.received_list[name], live
         # Section 5.2 gives no bound when both the list and a link fail.
         cut = (n for n in self.names if frozenset((name, n)) in self.cut_links)
         if any(self.lacks_live_member(name, other) for other in cut):
-            self.received_list[name] = before
+            self.received_list[name] = previous
         process.set_time(self.now)
         process.ledger.set_live_instances(self.received_list[name])
 
@@ -144,7 +144,9 @@
             return
         target = self.current[name]
         if target.dead:
-            self.schedule(self.delay(), self.handle, process, self.refused, name)
+            self.schedule(
+                self.delay(), self.handle, process, self.receive_refusal, name
+            )
             return
         for _ in range(2 if self.faulty and self.random.random() < 0.05 else 1):
             arguments = (target, self.answer, process, message, sent_at)
@@ -163,13 +165,13 @@
     def answer(self, process, sender, message, sent_at):
         answer = process.ledger.receive(message)
         if not self.is_lost(process.name, sender.name):
-            arguments = (sender, self.acknowledge, answer, sent_at)
+            arguments = (sender, self.receive_answer, answer, sent_at)
             self.schedule(self.delay(), self.handle, *arguments)
 
-    def acknowledge(self, process, answer, sent_at):
+    def receive_answer(self, process, answer, sent_at):
         process.ledger.record_acknowledgement(answer, sent_at)
 
-    def refused(self, process, name):
+    def receive_refusal(self, process, name):
         process.ledger.record_refused_connection(name)
 
     def is_lost(self, source, target):
