--- a/ebonybend/steering/suspects.py
+++ b/ebonybend/steering/suspects.py
@@ -90,8 +90,8 @@
         now = self.clock.monotonic()
         self._expire(now)
         # The same request may run several times on one server; it counts once.
-        for name in set(fingerprints):
-            suspect = self._current(name, now) or Suspect(0, False, now)
+        for fingerprint in set(fingerprints):
+            suspect = self._current(fingerprint, now) or Suspect(0, False, now)
             same_crash = (
                 server in suspect.servers and now - suspect.crashed_at < SAME_CRASH_S
             )
@@ -99,24 +99,24 @@
             suspect.refused |= isolated or suspect.crashes >= self.crashes_to_refuse
             suspect.crashed_at = now
             suspect.servers |= {server} if server else frozenset()
-            self.suspects[name] = suspect
+            self.suspects[fingerprint] = suspect
 
-    def record_success(self, name: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Clear a suspect that ran without a crash, unless it is refused."""
-        suspect = self.suspects.get(name)
+        suspect = self.suspects.get(fingerprint)
         if suspect is not None and not suspect.refused:
-            self._clear(name)
+            self._clear(fingerprint)
 
-    def pardon(self, name: str) -> None:
+    def pardon(self, fingerprint: str) -> None:
         """Clear a request, even if it is refused."""
-        self._clear(name)
-        self.pardoned_at[name] = self.clock.monotonic()
+        self._clear(fingerprint)
+        self.pardoned_at[fingerprint] = self.clock.monotonic()
 
-    def verdict(self, name: str) -> Verdict:
+    def verdict(self, fingerprint: str) -> Verdict:
         """Return how a request may run."""
-        if name not in self.suspects:
+        if fingerprint not in self.suspects:
             return Verdict.ALLOW
-        suspect = self._current(name, self.clock.monotonic())
+        suspect = self._current(fingerprint, self.clock.monotonic())
         if suspect is None:
             return Verdict.ALLOW
         return Verdict.REFUSE if suspect.refused else Verdict.ISOLATED
@@ -141,21 +141,25 @@
         self._expire(now)
         return tuple(
             SuspectView(
-                fingerprint=name,
+                fingerprint=fingerprint,
                 crashes=suspect.crashes,
                 refused=suspect.refused,
                 age_ms=(now - suspect.crashed_at) * 1000,
                 servers=tuple(sorted(suspect.servers)),
             )
-            for name, suspect in self.suspects.items()
+            for fingerprint, suspect in self.suspects.items()
         )
 
     def cleared(self) -> tuple[str, ...]:
         """Return the fingerprints that were cleared and aren't suspected again."""
-        return tuple(name for name in self.cleared_at if name not in self.suspects)
+        return tuple(
+            fingerprint
+            for fingerprint in self.cleared_at
+            if fingerprint not in self.suspects
+        )
 
-    def _current(self, name: str, now: float) -> Suspect | None:
-        suspect = self.suspects.get(name)
+    def _current(self, fingerprint: str, now: float) -> Suspect | None:
+        suspect = self.suspects.get(fingerprint)
         if suspect is None or now - suspect.crashed_at > suspect.lifetime_s():
             return None
         return suspect
@@ -167,14 +171,14 @@
             return pardoned
         return max(pardoned, self.cleared_at.get(view.fingerprint, float("-inf")))
 
-    def _clear(self, name: str) -> None:
-        self.suspects.pop(name, None)
-        self.cleared_at[name] = self.clock.monotonic()
+    def _clear(self, fingerprint: str) -> None:
+        self.suspects.pop(fingerprint, None)
+        self.cleared_at[fingerprint] = self.clock.monotonic()
 
-    def _merge_one(self, name: str, remote: Suspect, now: float) -> None:
-        local = self._current(name, now)
+    def _merge_one(self, fingerprint: str, remote: Suspect, now: float) -> None:
+        local = self._current(fingerprint, now)
         if local is None:
-            self.suspects[name] = remote
+            self.suspects[fingerprint] = remote
             return
         # Crashes on two servers that two instances saw are two crashes.
         local.servers |= remote.servers
@@ -183,9 +187,9 @@
         local.crashed_at = max(local.crashed_at, remote.crashed_at)
 
     def _expire(self, now: float) -> None:
-        for name in list(self.suspects):
-            if self._current(name, now) is None:
-                del self.suspects[name]
+        for fingerprint in list(self.suspects):
+            if self._current(fingerprint, now) is None:
+                del self.suspects[fingerprint]
         _drop_older(self.cleared_at, now - SUSPECT_LIFETIME_S)
         _drop_older(self.pardoned_at, now - REFUSED_LIFETIME_S)
         self._drop_oldest()
@@ -196,13 +200,15 @@
             return
         suspects = self.suspects
 
-        def importance(name: str) -> tuple[bool, float]:
-            return suspects[name].refused, suspects[name].crashed_at
+        def importance(fingerprint: str) -> tuple[bool, float]:
+            return suspects[fingerprint].refused, suspects[fingerprint].crashed_at
 
-        for name in sorted(suspects, key=importance)[:excess]:
-            del suspects[name]
+        for fingerprint in sorted(suspects, key=importance)[:excess]:
+            del suspects[fingerprint]
 
 
 def _drop_older(times: dict[str, float], limit: float) -> None:
-    for name in [name for name, time in times.items() if time < limit]:
-        del times[name]
+    for fingerprint in [
+        fingerprint for fingerprint, time in times.items() if time < limit
+    ]:
+        del times[fingerprint]
--- a/ebonybend/steering/tests/test_slots.py
+++ b/ebonybend/steering/tests/test_slots.py
@@ -104,7 +104,7 @@
         self.domain.run(8)
         self.domain.kill(self.domain.current["a"])
         self.domain.run(8)
-        # The predecessor of "b" uses slots of "a" until it dies.
+        # The predecessor of "b" uses slots of "a" until it is killed.
         ledger = self.domain.current["b"].ledger
         for server in TWELVE_SERVERS:
             for _ in range(ledger.owned_slots(server)):
