--- a/ebonybend/steering/lookup.py
+++ b/ebonybend/steering/lookup.py
@@ -43,7 +43,7 @@
     """Return a shard for pairs of block start and site number."""
     blocks = sorted(blocks)
     starts = array("I", (start for start, _ in blocks))
-    numbers = array("H", (number for _, number in blocks))
+    numbers = array("H", (site_number for _, site_number in blocks))
     return pack(ClientShard(sites, _little_endian(starts), _little_endian(numbers)))
 
 
@@ -169,11 +169,11 @@
         return tuple(found[:MAX_INSTANCES])
 
     def _domain_order(self, client_ip: int) -> tuple[str, ...]:
-        number = self.client_map.site_of(client_ip)
+        site_number = self.client_map.site_of(client_ip)
         # A client at an unknown site is assumed to be near the instance it reached.
         site = self.table.failure_domain
-        if number is not None:
-            site = self.client_map.sites[number]
+        if site_number is not None:
+            site = self.client_map.sites[site_number]
         order = self.domain_orders.get(site)
         if order is None:
             order = self._domains_by_latency(site)
--- a/ebonybend/steering/outcomes.py
+++ b/ebonybend/steering/outcomes.py
@@ -69,9 +69,9 @@
         owner = self._incarnations.get((prefix.instance, prefix.incarnation))
         if owner is None or key not in owner.outcomes:
             return
-        received, answer = owner.outcomes[key]
+        received_at, answer = owner.outcomes[key]
         if answer is not None:
-            owner.outcomes[key] = (received, evolve(answer, body=None))
+            owner.outcomes[key] = (received_at, evolve(answer, body=None))
 
     def seal(self, sealed: SealedIncarnation) -> bool:
         """Record a seal; return False if outcomes that it counts are missing."""
--- a/ebonybend/steering/tests/test_suspects.py
+++ b/ebonybend/steering/tests/test_suspects.py
@@ -88,9 +88,13 @@
         self.crashes = Counter()
         self.read_is_clear = True
 
-    @rule(at=integers(0, 2), poison=sampled_from(POISONS), repeats=integers(0, 2))
-    def send_poison(self, at, poison, repeats):
-        registry = self.registries[at]
+    @rule(
+        registry_index=integers(0, 2),
+        poison=sampled_from(POISONS),
+        repeats=integers(0, 2),
+    )
+    def send_poison(self, registry_index, poison, repeats):
+        registry = self.registries[registry_index]
         verdict = registry.verdict(poison)
         if verdict is Verdict.REFUSE:
             return
@@ -100,29 +104,31 @@
         if not isolated and registry.verdict(READ) is Verdict.ALLOW:
             neighbours = [READ]
             self.read_is_clear = False
-        registry.record_crash([poison, *neighbours], isolated, f"server of {at}")
+        registry.record_crash(
+            [poison, *neighbours], isolated, f"server of {registry_index}"
+        )
         # The notice reaches every domain before the client can retry the request.
         for other in self.registries:
             for _ in range(1 + repeats):
                 other.merge(*registry.views())
         self.notices.append((registry.views(), self.clocks[0].now))
 
-    @rule(at=integers(0, 2))
-    def send_read(self, at):
+    @rule(registry_index=integers(0, 2))
+    def send_read(self, registry_index):
         """Record a successful read, and announce it as a report's `cleared` does."""
         self.read_is_clear = True
-        self.registries[at].record_success(READ)
-        for name in self.registries[at].cleared():
+        self.registries[registry_index].record_success(READ)
+        for name in self.registries[registry_index].cleared():
             for other in self.registries:
                 other.record_success(name)
 
-    @rule(at=integers(0, 2), index=integers(0, 5))
-    def receive_late(self, at, index):
+    @rule(registry_index=integers(0, 2), index=integers(0, 5))
+    def receive_late(self, registry_index, index):
         if index < len(self.notices):
             views, sent_at = self.notices[index]
             age_ms = (self.clocks[0].now - sent_at) * 1000
             late = (evolve(view, age_ms=view.age_ms + age_ms) for view in views)
-            self.registries[at].merge(*late)
+            self.registries[registry_index].merge(*late)
 
     @rule(seconds=sampled_from([0.1, 0.5, 2.0]))
     def wait(self, seconds):
