--- a/ebonybend/steering/outcomes.py
+++ b/ebonybend/steering/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of other entries' keys, kept for when their owner can't be reached."""
+"""Outcomes of other entries' keys, for use when the keys' owner is unreachable."""
 
 from enum import Enum
 
@@ -7,7 +7,7 @@
 from ebonybend.clock import Clock
 from ebonybend.steering.keys import (
     EPOCH_S,
-    KEPT_EPOCHS,
+    RETENTION_EPOCHS,
     BodyBudget,
     KeyPrefix,
     OutcomeRecord,
@@ -53,12 +53,12 @@
     def add(
         self, instance: str, incarnation: int, records: tuple[OutcomeRecord, ...]
     ) -> None:
-        """Keep the outcomes that an owner replicated."""
+        """Store the outcomes that an owner replicated."""
         now = self.clock.monotonic()
         self._expire(now)
         owner = self._incarnations.setdefault((instance, incarnation), _Incarnation())
         for record in records:
-            answer = record.answer.within_limit() if record.answer else None
+            answer = record.answer.without_large_body() if record.answer else None
             owner.outcomes[record.key] = (now, answer)
             if answer is not None and answer.body is not None:
                 for old in self._bodies.add(record.key, len(answer.body)):
@@ -69,12 +69,12 @@
         owner = self._incarnations.get((prefix.instance, prefix.incarnation))
         if owner is None or key not in owner.outcomes:
             return
-        received, answer = owner.outcomes[key]
+        received_at, answer = owner.outcomes[key]
         if answer is not None:
-            owner.outcomes[key] = (received, evolve(answer, body=None))
+            owner.outcomes[key] = (received_at, evolve(answer, body=None))
 
     def seal(self, sealed: SealedIncarnation) -> bool:
-        """Take a seal; return False if outcomes that it counts are missing."""
+        """Record a seal; return False if outcomes that it counts are missing."""
         name = (sealed.instance, sealed.incarnation)
         owner = self._incarnations.setdefault(name, _Incarnation())
         covered = [key for key in owner.outcomes if self._covers(sealed, key)]
@@ -107,15 +107,15 @@
 
     def _expire(self, now: float) -> None:
         """Drop old outcomes; a seal and its outcomes are dropped together."""
-        keep_s = KEPT_EPOCHS * EPOCH_S
+        retention_s = RETENTION_EPOCHS * EPOCH_S
         for name, owner in list(self._incarnations.items()):
             if owner.sealed is not None:
-                if now - owner.sealed_at > keep_s:
+                if now - owner.sealed_at > retention_s:
                     del self._incarnations[name]
                 continue
             while owner.outcomes:
                 key = next(iter(owner.outcomes))
-                if now - owner.outcomes[key][0] <= keep_s:
+                if now - owner.outcomes[key][0] <= retention_s:
                     break
                 del owner.outcomes[key]
             if not owner.outcomes:
--- a/ebonybend/steering/suspects.py
+++ b/ebonybend/steering/suspects.py
@@ -1,4 +1,4 @@
-"""Find the requests that crash backend servers, and refuse them."""
+"""Detect the requests that crash backend servers, and refuse them."""
 
 from collections.abc import Iterable
 from enum import Enum
@@ -8,14 +8,14 @@
 
 from ebonybend.clock import Clock
 
-# Two crashes within this time without a success between them refuse a request.
+# A request is refused after two crashes within this time without a success in between.
 SUSPECT_LIFETIME_S = 60.0
 REFUSED_LIFETIME_S = 3600.0
 CRASHES_TO_REFUSE = 2
 # Bounds the memory when many different requests are in flight on crashing servers.
-MOST_SUSPECTS = 10_000
-# Several entries use one server, so a notice of a crash may arrive before the own
-# connection to the same server is seen to end.
+MAX_SUSPECTS = 10_000
+# Several entries use one server, so the notice of a crash may arrive before this
+# entry's own connection to that server ends.
 SAME_CRASH_S = 1.0
 
 
@@ -28,7 +28,7 @@
     refused: bool
     # Time since the last crash, in milliseconds.
     age_ms: float = 0.0
-    # The servers that crashed; they tell two crashes from two reports of one.
+    # The servers that crashed; distinguishes two crashes from two reports of one.
     servers: tuple[str, ...] = ()
 
 
@@ -42,8 +42,8 @@
 
 
 def fingerprint(service: str, method: str, path: str, body: bytes) -> str:
-    """Return the name of a request's content, 32 hexadecimal digits."""
-    # The parts are length-prefixed, so that no two requests share one text.
+    """Return a hash of a request's content, 32 hexadecimal digits."""
+    # The lengths of the parts keep different requests from sharing one text.
     head = f"{len(service)},{len(method)},{len(path)};{service}{method}{path}"
     state = xxh3_128(head.encode())
     state.update(body)
@@ -73,65 +73,67 @@
 
 
 class SuspectRegistry:
-    """The suspects that an instance knows, from its own crashes and from others."""
+    """The suspects of an instance, from its own crashes and from other instances."""
 
     def __init__(self, clock: Clock, crashes_to_refuse: int = CRASHES_TO_REFUSE):
         self.clock = clock
         self.crashes_to_refuse = crashes_to_refuse
         self.suspects: dict[str, Suspect] = {}
-        # When a fingerprint was last cleared; older notices no longer count.
+        # Time when a fingerprint was last cleared; earlier crashes are ignored.
         self.cleared_at: dict[str, float] = {}
         self.pardoned_at: dict[str, float] = {}
 
     def record_crash(
-        self, fingerprints: Iterable[str], alone: bool, server: str = ""
+        self, fingerprints: Iterable[str], isolated: bool, server: str = ""
     ) -> None:
         """Count a crash of a server for the requests that were running on it."""
         now = self.clock.monotonic()
         self._expire(now)
         # The same request may run several times on one server; it counts once.
-        for name in set(fingerprints):
-            known = self._live(name, now) or Suspect(0, False, now)
-            same = server in known.servers and now - known.crashed_at < SAME_CRASH_S
-            known.crashes += 0 if same else 1
-            known.refused |= alone or known.crashes >= self.crashes_to_refuse
-            known.crashed_at = now
-            known.servers |= {server} if server else frozenset()
-            self.suspects[name] = known
-
-    def record_success(self, name: str) -> None:
-        """Clear a suspect that has run without a crash, unless it is refused."""
-        known = self.suspects.get(name)
-        if known is not None and not known.refused:
-            self._clear(name)
-
-    def pardon(self, name: str) -> None:
+        for fingerprint in set(fingerprints):
+            suspect = self._current(fingerprint, now) or Suspect(0, False, now)
+            same_crash = (
+                server in suspect.servers and now - suspect.crashed_at < SAME_CRASH_S
+            )
+            suspect.crashes += 0 if same_crash else 1
+            suspect.refused |= isolated or suspect.crashes >= self.crashes_to_refuse
+            suspect.crashed_at = now
+            suspect.servers |= {server} if server else frozenset()
+            self.suspects[fingerprint] = suspect
+
+    def record_success(self, fingerprint: str) -> None:
+        """Clear a suspect that ran without a crash, unless it is refused."""
+        suspect = self.suspects.get(fingerprint)
+        if suspect is not None and not suspect.refused:
+            self._clear(fingerprint)
+
+    def pardon(self, fingerprint: str) -> None:
         """Clear a request, even if it is refused."""
-        self._clear(name)
-        self.pardoned_at[name] = self.clock.monotonic()
+        self._clear(fingerprint)
+        self.pardoned_at[fingerprint] = self.clock.monotonic()
 
-    def verdict(self, name: str) -> Verdict:
+    def verdict(self, fingerprint: str) -> Verdict:
         """Return how a request may run."""
-        if name not in self.suspects:
+        if fingerprint not in self.suspects:
             return Verdict.ALLOW
-        known = self._live(name, self.clock.monotonic())
-        if known is None:
+        suspect = self._current(fingerprint, self.clock.monotonic())
+        if suspect is None:
             return Verdict.ALLOW
-        return Verdict.REFUSE if known.refused else Verdict.ISOLATED
+        return Verdict.REFUSE if suspect.refused else Verdict.ISOLATED
 
     def merge(self, *views: SuspectView) -> None:
-        """Take in what other instances know; order and repetition don't matter."""
+        """Merge the suspects of other instances; order and repetition don't matter."""
         now = self.clock.monotonic()
         self._expire(now)
         for view in views:
             crashed_at = now - view.age_ms / 1000
             if crashed_at <= self._cleared_at(view):
                 continue
-            theirs = Suspect(
+            remote = Suspect(
                 view.crashes, view.refused, crashed_at, frozenset(view.servers)
             )
-            if now - crashed_at <= theirs.lifetime_s():
-                self._merge_one(view.fingerprint, theirs, now)
+            if now - crashed_at <= remote.lifetime_s():
+                self._merge_one(view.fingerprint, remote, now)
 
     def views(self) -> tuple[SuspectView, ...]:
         """Return the current suspects with the ages of their last crashes."""
@@ -139,68 +141,74 @@
         self._expire(now)
         return tuple(
             SuspectView(
-                fingerprint=name,
-                crashes=known.crashes,
-                refused=known.refused,
-                age_ms=(now - known.crashed_at) * 1000,
-                servers=tuple(sorted(known.servers)),
+                fingerprint=fingerprint,
+                crashes=suspect.crashes,
+                refused=suspect.refused,
+                age_ms=(now - suspect.crashed_at) * 1000,
+                servers=tuple(sorted(suspect.servers)),
             )
-            for name, known in self.suspects.items()
+            for fingerprint, suspect in self.suspects.items()
         )
 
     def cleared(self) -> tuple[str, ...]:
-        """Return the fingerprints that were cleared and not suspected again."""
-        return tuple(name for name in self.cleared_at if name not in self.suspects)
+        """Return the fingerprints that were cleared and aren't suspected again."""
+        return tuple(
+            fingerprint
+            for fingerprint in self.cleared_at
+            if fingerprint not in self.suspects
+        )
 
-    def _live(self, name: str, now: float) -> Suspect | None:
-        known = self.suspects.get(name)
-        if known is None or now - known.crashed_at > known.lifetime_s():
+    def _current(self, fingerprint: str, now: float) -> Suspect | None:
+        suspect = self.suspects.get(fingerprint)
+        if suspect is None or now - suspect.crashed_at > suspect.lifetime_s():
             return None
-        return known
+        return suspect
 
     def _cleared_at(self, view: SuspectView) -> float:
-        """Return when a success or a pardon lifted such a suspicion."""
-        lifted = self.pardoned_at.get(view.fingerprint, float("-inf"))
+        """Return when a success or a pardon last cleared such a suspect."""
+        pardoned = self.pardoned_at.get(view.fingerprint, float("-inf"))
         if view.refused:
-            return lifted
-        return max(lifted, self.cleared_at.get(view.fingerprint, float("-inf")))
+            return pardoned
+        return max(pardoned, self.cleared_at.get(view.fingerprint, float("-inf")))
 
-    def _clear(self, name: str) -> None:
-        self.suspects.pop(name, None)
-        self.cleared_at[name] = self.clock.monotonic()
+    def _clear(self, fingerprint: str) -> None:
+        self.suspects.pop(fingerprint, None)
+        self.cleared_at[fingerprint] = self.clock.monotonic()
 
-    def _merge_one(self, name: str, theirs: Suspect, now: float) -> None:
-        ours = self._live(name, now)
-        if ours is None:
-            self.suspects[name] = theirs
+    def _merge_one(self, fingerprint: str, remote: Suspect, now: float) -> None:
+        local = self._current(fingerprint, now)
+        if local is None:
+            self.suspects[fingerprint] = remote
             return
         # Crashes on two servers that two instances saw are two crashes.
-        ours.servers |= theirs.servers
-        ours.crashes = max(ours.crashes, theirs.crashes, len(ours.servers))
-        ours.refused |= theirs.refused or ours.crashes >= self.crashes_to_refuse
-        ours.crashed_at = max(ours.crashed_at, theirs.crashed_at)
+        local.servers |= remote.servers
+        local.crashes = max(local.crashes, remote.crashes, len(local.servers))
+        local.refused |= remote.refused or local.crashes >= self.crashes_to_refuse
+        local.crashed_at = max(local.crashed_at, remote.crashed_at)
 
     def _expire(self, now: float) -> None:
-        for name in list(self.suspects):
-            if self._live(name, now) is None:
-                del self.suspects[name]
+        for fingerprint in list(self.suspects):
+            if self._current(fingerprint, now) is None:
+                del self.suspects[fingerprint]
         _drop_older(self.cleared_at, now - SUSPECT_LIFETIME_S)
         _drop_older(self.pardoned_at, now - REFUSED_LIFETIME_S)
         self._drop_oldest()
 
     def _drop_oldest(self) -> None:
-        excess = len(self.suspects) - MOST_SUSPECTS
+        excess = len(self.suspects) - MAX_SUSPECTS
         if excess <= 0:
             return
         suspects = self.suspects
 
-        def importance(name: str) -> tuple[bool, float]:
-            return suspects[name].refused, suspects[name].crashed_at
+        def importance(fingerprint: str) -> tuple[bool, float]:
+            return suspects[fingerprint].refused, suspects[fingerprint].crashed_at
 
-        for name in sorted(suspects, key=importance)[:excess]:
-            del suspects[name]
+        for fingerprint in sorted(suspects, key=importance)[:excess]:
+            del suspects[fingerprint]
 
 
 def _drop_older(times: dict[str, float], limit: float) -> None:
-    for name in [name for name, time in times.items() if time < limit]:
-        del times[name]
+    for fingerprint in [
+        fingerprint for fingerprint, time in times.items() if time < limit
+    ]:
+        del times[fingerprint]
--- a/ebonybend/steering/tests/test_suspects.py
+++ b/ebonybend/steering/tests/test_suspects.py
@@ -29,19 +29,19 @@
         self.assertEqual(4, len(names))
         self.assertEqual(32, len(POISON))
 
-    def test_crash_while_alone_refuses(self):
+    def test_crash_while_isolated_refuses(self):
         """Guards against a request that crashes one server after the other."""
-        self.registry.record_crash([POISON, READ], alone=False)
+        self.registry.record_crash([POISON, READ], isolated=False)
         self.assertIs(Verdict.ISOLATED, self.registry.verdict(POISON))
-        self.registry.record_crash([POISON], alone=True)
+        self.registry.record_crash([POISON], isolated=True)
         self.assertIs(Verdict.REFUSE, self.registry.verdict(POISON))
         self.registry.record_success(READ)
         self.assertIs(Verdict.ALLOW, self.registry.verdict(READ))
 
     def test_suspicion_ends_by_time_or_pardon(self):
-        """Guards against requests that are refused for good."""
-        self.registry.record_crash([READ], alone=False)
-        self.registry.record_crash([POISON], alone=True)
+        """Guards against requests that are refused permanently."""
+        self.registry.record_crash([READ], isolated=False)
+        self.registry.record_crash([POISON], isolated=True)
         self.clock.advance(61)
         self.assertIs(Verdict.ALLOW, self.registry.verdict(READ))
         self.assertIs(Verdict.REFUSE, self.registry.verdict(POISON))
@@ -52,22 +52,22 @@
 
     def test_one_crash_seen_by_two_entries_counts_once(self):
         """Guards against a common read that is refused after a single crash."""
-        self.other.record_crash([READ], alone=False, server="s1")
+        self.other.record_crash([READ], isolated=False, server="s1")
         self.registry.merge(*self.other.views())
-        self.registry.record_crash([READ, READ], alone=False, server="s1")
+        self.registry.record_crash([READ, READ], isolated=False, server="s1")
         self.registry.merge(*self.other.views())
         self.assertIs(Verdict.ISOLATED, self.registry.verdict(READ))
 
     def test_two_crashes_seen_by_two_entries_refuse(self):
-        """Guards against crashes that are lost in the merge by maximum."""
-        self.other.record_crash([POISON], alone=False, server="s1")
-        self.registry.record_crash([POISON], alone=False, server="s2")
+        """Guards against a merge that takes the larger count and so loses a crash."""
+        self.other.record_crash([POISON], isolated=False, server="s1")
+        self.registry.record_crash([POISON], isolated=False, server="s2")
         self.registry.merge(*self.other.views())
         self.assertIs(Verdict.REFUSE, self.registry.verdict(POISON))
 
-    def test_old_news_does_not_return_after_a_success(self):
-        """Guards against a cleared request that a late message accuses again."""
-        self.registry.record_crash([READ], alone=False)
+    def test_late_notice_is_ignored_after_a_success(self):
+        """Guards against a cleared request that a late message makes suspect again."""
+        self.registry.record_crash([READ], isolated=False)
         old = self.registry.views()
         self.clock.advance(1)
         self.registry.record_success(READ)
@@ -77,52 +77,58 @@
 
 
 class SuspectMachine(RuleBasedStateMachine):
-    """Guards against a third crash, and against refusing what has succeeded."""
+    """Guards against a third crash, and refusal of a request that succeeded."""
 
     def __init__(self):
         super().__init__()
-        # Each registry has its own clock; the servers of each are its own.
+        # Each registry has its own clock and its own servers.
         self.clocks = [ManualClock(1000.0 * number) for number in range(1, 4)]
         self.registries = [SuspectRegistry(clock) for clock in self.clocks]
         self.notices = []
         self.crashes = Counter()
         self.read_is_clear = True
 
-    @rule(at=integers(0, 2), poison=sampled_from(POISONS), repeats=integers(0, 2))
-    def send_poison(self, at, poison, repeats):
-        registry = self.registries[at]
+    @rule(
+        registry_index=integers(0, 2),
+        poison=sampled_from(POISONS),
+        repeats=integers(0, 2),
+    )
+    def send_poison(self, registry_index, poison, repeats):
+        registry = self.registries[registry_index]
         verdict = registry.verdict(poison)
         if verdict is Verdict.REFUSE:
             return
         self.crashes[poison] += 1
-        alone = verdict is Verdict.ISOLATED
-        beside = []
-        if not alone and registry.verdict(READ) is Verdict.ALLOW:
-            beside = [READ]
+        isolated = verdict is Verdict.ISOLATED
+        neighbours = []
+        if not isolated and registry.verdict(READ) is Verdict.ALLOW:
+            neighbours = [READ]
             self.read_is_clear = False
-        registry.record_crash([poison, *beside], alone, f"server of {at}")
-        # The notice reaches every domain before the caller can send it again.
+        registry.record_crash(
+            [poison, *neighbours], isolated, f"server of {registry_index}"
+        )
+        # The notice reaches every domain before the client can retry the request.
         for other in self.registries:
             for _ in range(1 + repeats):
                 other.merge(*registry.views())
         self.notices.append((registry.views(), self.clocks[0].now))
 
-    @rule(at=integers(0, 2))
-    def send_read(self, at):
-        """Run the read with success, and announce it as a report's `cleared` does."""
+    @rule(registry_index=integers(0, 2))
+    def send_read(self, registry_index):
+        """Record a successful read, and announce it as a report's `cleared` does."""
         self.read_is_clear = True
-        self.registries[at].record_success(READ)
-        for name in self.registries[at].cleared():
+        self.registries[registry_index].record_success(READ)
+        for name in self.registries[registry_index].cleared():
             for other in self.registries:
                 other.record_success(name)
 
-    @rule(at=integers(0, 2), index=integers(0, 5))
-    def receive_late(self, at, index):
+    @rule(registry_index=integers(0, 2), index=integers(0, 5))
+    def receive_late(self, registry_index, index):
         if index < len(self.notices):
             views, sent_at = self.notices[index]
             age_ms = (self.clocks[0].now - sent_at) * 1000
             late = (evolve(view, age_ms=view.age_ms + age_ms) for view in views)
-            self.registries[at].merge(*late)
+            self.registries[registry_index].merge(*late)
 
     @rule(seconds=sampled_from([0.1, 0.5, 2.0]))
     def wait(self, seconds):
