--- a/ebonybend/steering/crashes.py
+++ b/ebonybend/steering/crashes.py
@@ -1,37 +1,38 @@
-"""Tell requests that were running on a server when it crashed.
+"""Detect which requests were running on a server when it crashed.
 
-A connection that ends without an answer may also be a lost answer. Only a server that
-refuses connections soon after has crashed.
+A connection that ends without an answer may also mean that the answer was lost. Only a
+server that refuses connections soon after that has crashed.
 """
 
 from ebonybend.clock import Clock
 from ebonybend.steering.suspects import SuspectRegistry, SuspectView, Verdict
 
-# Time between lost answers and a refused connection that shows a crash.
+# A connection refused within this time after a lost answer shows a crash.
 CRASH_S = 1.5
-# Innocent requests run beside a culprit, so one or two crashes prove nothing.
+# Other requests run beside the one that crashes a server, so one or two crashes don't
+# identify it.
 CRASHES_TO_REFUSE = 3
-# Suspects that a beat tells; a datagram is to stay below 1400 bytes.
+# Suspects in a heartbeat, whose datagram has to stay below 1400 bytes.
 MOST_TOLD = 4
 
 
 class CrashWatch:
-    """Suspect the requests that were lost on servers that crashed."""
+    """Register as suspects the requests that were lost on servers that crashed."""
 
     def __init__(self, clock: Clock):
         self.clock = clock
         self.registry = SuspectRegistry(clock, CRASHES_TO_REFUSE)
-        # Lost requests by server, with the time of the loss.
+        # Lost requests by server, with the times of their losses.
         self.lost: dict[str, list[tuple[float, str]]] = {}
 
     def request_lost(self, server: str, fingerprint: str) -> None:
-        """Take in that a connection ended while a request was running."""
+        """Record a request whose connection ended before its answer."""
         now = self.clock.monotonic()
         recent = self._recent(server, now)
         self.lost[server] = [*recent, (now, fingerprint)]
 
     def connection_refused(self, server: str) -> None:
-        """Take in that a server refuses connections: it has crashed."""
+        """Record a crash of a server that refuses connections after lost requests."""
         recent = self._recent(server, self.clock.monotonic())
         self.lost.pop(server, None)
         if recent:
@@ -39,15 +40,15 @@
             self.registry.crashed(names, False, server)
 
     def is_refused(self, fingerprint: str) -> bool:
-        """Tell whether a request has crashed too many servers."""
+        """Return whether a request has crashed too many servers."""
         return self.registry.verdict(fingerprint) is Verdict.REFUSE
 
     def has_suspects(self) -> bool:
-        """Tell whether any request is suspected."""
+        """Return whether there is any suspect."""
         return bool(self.registry.suspects)
 
     def told(self) -> tuple[SuspectView, ...]:
-        """Return the suspects to tell other nodes, the worst first."""
+        """Return the suspects for the heartbeat, those with most crashes first."""
         views = sorted(self.registry.views(), key=lambda v: (-v.crashes, v.age_ms))
         return tuple(views[:MOST_TOLD])
 
--- a/ebonybend/steering/freshness.py
+++ b/ebonybend/steering/freshness.py
@@ -1,14 +1,14 @@
-"""Decide how much a measurement counts as it ages."""
+"""Weight measurements by their age."""
 
-# Measurements arrive every 250 ms to 500 ms; 3 s without one is no longer a lost
-# message or two.
+# Measurements arrive every 250 ms to 500 ms, so a gap of 3 s is more than one or two
+# lost messages.
 FRESH_MS = 3000.0
-# A value loses half of its weight for each further period of this length.
+# A measurement loses half of its weight for each further period of this length.
 HALF_LIFE_MS = 3000.0
-# A weight of zero would make servers without measurements unusable for good.
+# With a weight of zero, servers without measurements would never be used again.
 LOWEST_WEIGHT = 1 / 64
 
-# The remote windows lose a tenth for each period without a newer table.
+# The windows of remote domains shrink by a tenth for each period without a newer table.
 TIGHTENING_STEP_MS = 5000.0
 TIGHTENING_FACTOR = 0.9
 LOWEST_WINDOW_FACTOR = 0.25
@@ -23,6 +23,6 @@
 
 
 def remote_window_factor(table_age_ms: float) -> float:
-    """Return the factor on the windows for other domains, from 1 down to 1/4."""
+    """Return the factor on the windows of remote domains, from 1 down to 1/4."""
     steps = max(0, int(table_age_ms // TIGHTENING_STEP_MS))
     return max(TIGHTENING_FACTOR**steps, LOWEST_WINDOW_FACTOR)
--- a/ebonybend/steering/lapsed.py
+++ b/ebonybend/steering/lapsed.py
@@ -1,41 +1,42 @@
-"""Keep servers whose entries lapsed while the list could not be kept up."""
+"""Retain servers whose store entries expired while the store was unavailable."""
 
 from collections.abc import Mapping
 
 from ebonybend.world import BackendServer, LifeState
 
-# Entries of servers that live are back about 2 s after the store's return.
+# Running servers restore their entries within about 2 s after the store recovers.
 RETURN_GRACE_S = 2.2
-# Time before a node counts as settled by which it uses no entry that is missing;
-# covers a request on its way.
+# A node stops using missing servers this long before it counts as settled, which covers
+# a request in transit.
 SETTLE_MARGIN_S = 0.3
 
 
 class LapsedServers:
-    """Tell which servers stay in use although the list no longer has them."""
+    """Determine which servers stay in use although the list no longer has them."""
 
     def __init__(self) -> None:
-        # Time until which missing servers are kept.
+        # Time until which missing servers are retained.
         self.until = float("-inf")
 
     def store_returned(self, now: float, away_at: float, settle_s: float) -> None:
-        """Take in that the store answers this node again.
+        """Retain missing servers for a time after the store recovers for this node.
 
-        It was last known to be away at a time, and the node has to be up to date when
-        it has reached the store for settle_s.
+        unavailable_at is the last time at which the store was known to be unavailable.
+        The node has to be up to date once it has reached the store for settle_s.
         """
         settled_at = away_at + settle_s - SETTLE_MARGIN_S
         self.until = min(now + RETURN_GRACE_S, settled_at)
 
     def store_answered_since(self, time: float) -> None:
-        """Take in that the store has answered another node since a time.
+        """Record that the store has answered another node since a time.
 
-        Entries that lapsed before are back by now, so what is missing has gone.
+        Running servers restore expired entries within the grace time after that, so a
+        server that is still missing then has terminated.
         """
         self.until = min(self.until, time + RETURN_GRACE_S)
 
     def left_s(self, now: float) -> float:
-        """Return for how long missing entries are still kept."""
+        """Return the seconds for which missing servers are still retained."""
         return max(self.until - now, 0.0)
 
     def merge(
@@ -44,7 +45,7 @@
         listed: Mapping[str, BackendServer],
         now: float,
     ) -> dict[str, BackendServer]:
-        """Return the servers to use: the listed ones and, for a time, missing ones."""
+        """Return the servers to use: the listed ones and the retained ones."""
         if self.left_s(now) <= 0:
             return dict(listed)
         addresses = {server.address for server in listed.values()}
--- a/ebonybend/steering/placement.py
+++ b/ebonybend/steering/placement.py
@@ -1,4 +1,4 @@
-"""Choose the backend server of a request: warm objects first, within bounds."""
+"""Choose the backend server of a request by object affinity and load."""
 
 from collections.abc import Collection, Mapping
 
@@ -13,62 +13,63 @@
 from ebonybend.steering.service_times import SLOW, ServiceTimes
 from ebonybend.world.route import Route, RoutedService
 
-# Places of an object in its region; more would keep it cold in each of them.
+# Preferred servers of an object in its region. With more of them, each would see the
+# object too rarely to keep it warm.
 PLACES = 2
-# Part of the objective within which an answer is expected; the rest covers the way to
-# the caller and what the estimate misses.
+# Fraction of the latency objective that the estimated answer time may use. The rest
+# covers the network delay to the client and errors of the estimate.
 ON_TIME_PART = 0.85
-# Requests on a server, running and waiting, as a multiple of its slots: of the most
-# urgent routes, of callers that come back, and of the others, so that a burst leaves
-# the urgent ones a short wait.
+# Limits on the load of a server, in running and queued requests per slot: for the most
+# urgent routes, for client retries, and for other requests. The lower limits keep the
+# wait of urgent requests short during a burst.
 URGENT_FULL_AT = 3.0
 RETURNED_FULL_AT = 2.4
 FULL_AT = 1.4
-# The same while no answer has told how long requests take.
+# The same limit while the service time is unknown.
 UNKNOWN_FULL_AT = 1.2
-# Slots that less urgent requests leave free where urgent ones can't wait.
+# Slots that less urgent requests leave free where urgent ones would be late if queued.
 RESERVED_SLOTS = 1
-# Servers of other regions that are considered when the object's region is full.
+# Servers in remote regions that are tried when the object's region is full.
 FAR_PLACES = 2
-# Bounds of the time after which a refused caller is asked to come back.
+# Bounds of the delay after which a refused client is asked to retry.
 LEAST_PAUSE_S = 0.06
 MOST_PAUSE_S = 1.0
-# A server outside an object's places takes it only below this part of its slots.
+# A server that isn't preferred for an object runs it only while its load is below this
+# fraction of its slots.
 IDLE_PART = 0.5
 
 
 @frozen(kw_only=True)
 class PlacementQuery:
-    """What the choice depends on."""
+    """The properties of a request that the choice of its server depends on."""
 
     service: RoutedService
     route: Route
-    # Requests of one object have one key; empty if none is stated.
+    # Key shared by all requests for one object; empty if the request states none.
     object_key: bytes
-    # Region that takes the object.
+    # Region to which the object is assigned.
     region: str
-    # The most urgent route of the service, if it is more urgent than this one.
+    # The most urgent route of the service, or None if it isn't more urgent than this.
     urgent_route: Route | None = None
-    # Time that is left to the caller, if it comes back after a refusal; None if it
-    # asks for the first time.
+    # Time for which a retrying client still waits; None for a first attempt.
     returned_left_s: float | None = None
     excluded: Collection[str] = ()
 
 
 def rank(object_key: bytes, name: str) -> int:
-    """Return the weight of a server for an object; the largest is its place."""
+    """Return a server's rendezvous-hashing weight for an object; the largest wins."""
     return xxh3_64_intdigest(object_key + b"\0" + name.encode())
 
 
 class Placement:
-    """Choose servers within the bounds of each."""
+    """Choose servers without exceeding the load limit of any."""
 
     def __init__(self, table: ServerTable, times: ServiceTimes):
         self.table = table
         self.times = times
 
     def choose(self, query: PlacementQuery, now: float) -> ServerState | None:
-        """Return the server that takes the request, or None if none has room."""
+        """Return the server to send the request to, or None if none has capacity."""
         candidates = self._candidates(query, now)
         near = [s for s in candidates if s.server.region == query.region]
         ordered = self._ordered(near or candidates, query, now)
@@ -83,7 +84,7 @@
         return self._idle(self._ordered(far, query, now)[:FAR_PLACES], query, now)
 
     def pause_s(self, query: PlacementQuery, now: float) -> float:
-        """Return the time after which a place of the object has room again."""
+        """Return the estimated seconds until a preferred server has capacity."""
         pauses = []
         for state in self._places(query, now):
             mean = state.service_s or query.route.objective_s
@@ -93,7 +94,7 @@
         return min(max(min(pauses, default=0.0), LEAST_PAUSE_S), MOST_PAUSE_S)
 
     def describe(self, query: PlacementQuery, now: float) -> str:
-        """Return the loads that decided a refusal, for the log."""
+        """Describe the server loads that led to a refusal, for the log."""
         loads = [
             f"{state.server.name} {state.load(now):.1f} of {state.server.slots}"
             f" (report {now - state.reported_at:.1f} s old)"
@@ -102,7 +103,7 @@
         return f"{len(self._candidates(query, now))} usable; " + ", ".join(loads)
 
     def _places(self, query: PlacementQuery, now: float) -> list[ServerState]:
-        """Return the object's places in its region, or anywhere if it has no server."""
+        """Return the object's preferred servers, in its region if that has any."""
         candidates = self._candidates(query, now)
         near = [s for s in candidates if s.server.region == query.region]
         return self._ordered(near or candidates, query, now)[:PLACES]
@@ -121,7 +122,7 @@
     def _ordered(
         self, states: list[ServerState], query: PlacementQuery, now: float
     ) -> list[ServerState]:
-        """Return the servers in the order of preference."""
+        """Sort servers by rendezvous weight for sticky routes, otherwise by load."""
         if query.route.sticky and query.object_key:
             key = query.object_key
             return sorted(states, key=lambda s: rank(key, s.server.name), reverse=True)
@@ -134,19 +135,19 @@
         within = query.returned_left_s or query.route.objective_s
         on_time = within * ON_TIME_PART
         if load < min(slots, self._most(state, query)):
-            # It starts at once; a slow server is used only while it is on time.
+            # The request starts at once; a slow server has to answer on time too.
             return state.slowness < SLOW or way + expected <= on_time
         if load >= self._most(state, query):
             return False
         if state.service_s is None or not expected:
-            # Nothing is known of the wait yet, and cold servers are slow at first.
+            # The wait can't be estimated yet, and cold servers are slow at first.
             return load < slots * UNKNOWN_FULL_AT
         mean = state.service_s
         wait = (load + 1 - slots) * mean / slots
         return way + wait + expected <= on_time
 
     def _most(self, state: ServerState, query: PlacementQuery) -> float:
-        """Return the load up to which a server takes a request."""
+        """Return the load below which a server accepts the request."""
         slots = state.server.slots
         urgent = query.urgent_route
         if urgent is None:
@@ -156,7 +157,7 @@
         mean = state.service_s or 0.0
         if not needed or not mean:
             return slots * part
-        # A less urgent request leaves a queue in which an urgent one is on time.
+        # Keep the queue short enough for an urgent request to be on time.
         spare = urgent.objective_s * ON_TIME_PART - needed - (state.round_trip_s or 0.0)
         queue = spare * slots / mean
         return min(max(slots + queue, slots - RESERVED_SLOTS), slots * part)
@@ -164,10 +165,10 @@
     def _idle(
         self, states: list[ServerState], query: PlacementQuery, now: float
     ) -> ServerState | None:
-        """Return the least loaded server that is nearly idle, if it is on time.
+        """Return the least loaded of the nearly idle servers that answer on time.
 
-        The object is cold there, so a late answer would also cost the others a slot
-        for the time of several warm ones.
+        The object is cold there, so a late answer would also hold a slot for the time
+        of several requests to warm objects.
         """
         on_time = query.route.objective_s * ON_TIME_PART
         idle = [
@@ -182,9 +183,9 @@
 
 
 def without_ejected(states: list[ServerState], now: float) -> list[ServerState]:
-    """Leave ejected servers out, unless too many of a region's would be.
+    """Filter out ejected servers, up to MAX_EJECTED_FRACTION of a region's servers.
 
-    All servers of a region may be out of reach, if there are others.
+    All unreachable servers are filtered out first, unless none would remain.
     """
     states = [s for s in states if not s.is_unreachable(now)] or states
     by_region: dict[str, list[ServerState]] = {}
@@ -195,7 +196,7 @@
         healthy = [state for state in group if not state.is_ejected(now)]
         most = len(group) * MOST_EJECTED_SHARE
         if len(group) - len(healthy) > most:
-            # So many failures at once say more of the network than of the servers.
+            # So many failures at once point to the network, not to the servers.
             ejected = [state for state in group if state.is_ejected(now)]
             ejected.sort(key=lambda state: state.ejected_until)
             healthy += ejected[: len(group) - int(most) - len(healthy)]
@@ -206,7 +207,7 @@
 def capacity_by_region(
     table: ServerTable, service: str, now: float
 ) -> dict[str, float]:
-    """Return the room of a service by region, in slots of servers of common speed."""
+    """Return a service's capacity by region, in slots of servers of average speed."""
     capacity: dict[str, float] = {}
     for state in without_ejected(table.usable(service), now):
         slots = state.server.slots / max(state.slowness, 1.0)
@@ -216,11 +217,11 @@
 
 
 def slots_in(table: ServerTable, service: str, region: str, now: float) -> int:
-    """Return the slots of a service that can be used in a region."""
+    """Return the number of a service's usable slots in a region."""
     states = without_ejected(table.usable(service), now)
     return sum(s.server.slots for s in states if s.server.region == region)
 
 
 def service_of(services: Mapping[str, RoutedService], name: str) -> RoutedService:
-    """Return a service's bounds; a service without any has no cold rate."""
+    """Return a service's limits, all zero if none are configured."""
     return services.get(name) or RoutedService(name, 0, 0.0, 0.0)
--- a/ebonybend/steering/regions.py
+++ b/ebonybend/steering/regions.py
@@ -1,8 +1,8 @@
-"""Divide each region's objects between regions by demand and room.
+"""Assign the objects of each region's clients to regions by demand and capacity.
 
-Objects stay in the region of their callers while it has room. What exceeds it moves to
-regions with room, object by object, so that each object stays warm in one place. All
-nodes compute the same shares from the demands that they tell one another.
+Objects stay in the region of their clients while it has capacity. The excess moves to
+regions with spare capacity, object by object, so that each object stays warm in one
+region. All nodes compute the same shares from the demands in their heartbeats.
 """
 
 from collections.abc import Collection, Mapping
@@ -10,16 +10,17 @@
 from attrs import define, field
 from xxhash import xxh3_64_intdigest
 
-# Part of a region's slots that its demand may fill before objects move.
+# Utilisation of a region's slots up to which its objects stay there.
 FILL = 0.7
-# Half of the allowed change, because traffic and views vary beside the shares.
+# Fraction of the allowed change that the shares use. The rest is left for requests that
+# change region because traffic or the nodes' views vary.
 STEP_PART = 0.5
-# Window of the bound on requests that change region.
+# Window over which the fraction of requests that change region is limited.
 SHIFT_WINDOW_S = 2.0
-# Shares below this are not worth a cold object.
+# A smaller share isn't moved, as its objects would be cold at first.
 LEAST_SHARE = 0.02
-# Servers that are back for this time count as regained; a server that is tried after a
-# failure is left out for 1 s to 8 s again if it fails.
+# Time after which recovered slots count again. An ejected server that is tried and
+# fails again is ejected for another 1 s to 8 s.
 REGAINED_AFTER_S = 4.0
 HASH_SPAN = float(1 << 64)
 
@@ -27,7 +28,7 @@
 def target_shares(
     region: str, demand: Mapping[str, float], capacity: Mapping[str, float]
 ) -> dict[str, float]:
-    """Return the share of a region's objects that each region is to take.
+    """Return the fraction of a region's objects to assign to each region.
 
     Demand and capacity are in slots by region.
     """
@@ -56,7 +57,7 @@
 def even_demand(
     regions: Collection[str], capacity: Mapping[str, float]
 ) -> dict[str, float]:
-    """Return the demand to expect before any is known: as much in each region."""
+    """Return an equal demand per region, to assume while the demand is unknown."""
     total = FILL * sum(capacity.values())
     return {region: total / len(regions) for region in regions}
 
@@ -68,7 +69,7 @@
 
 @define
 class RegionShares:
-    """The shares in use for one service; they follow their target slowly."""
+    """The traffic shares of one service, which change at a bounded rate."""
 
     region: str
     shares: dict[str, float] = field(factory=dict)
@@ -83,18 +84,18 @@
         in_use: bool = True,
         lost_part: float = 0.0,
     ) -> None:
-        """Move toward a target, at most as fast as requests may change region.
+        """Move the shares toward a target.
 
-        Shares that no request has used since the last call move at once. So does the
-        part of the own region whose servers were lost since then: its objects change
-        places anyway.
+        At most max_shift of the requests may change region in SHIFT_WINDOW_S. Shares
+        that no request used since the last call change at once. So does the part of the
+        own region whose servers were lost, as its objects change servers anyway.
         """
         if not self.shares:
             self.shares = {self.region: 1.0}
         elapsed = 0.0 if self.updated_at is None else now - self.updated_at
         self.updated_at = now
         if not in_use or all(capacity.get(name, 0.0) <= 0 for name in self.shares):
-            # No request changes its region, or none could stay in it.
+            # No request changes region, or no region in use has capacity.
             self.shares = dict(target)
             return
         step = shift_most * STEP_PART / SHIFT_WINDOW_S * elapsed
@@ -107,9 +108,9 @@
         self.shares = {n: share for n, share in shares.items() if share > 1e-6}
 
     def region_of(self, object_key: bytes) -> str:
-        """Return the region that takes an object.
+        """Return the region to which an object is assigned.
 
-        The own region takes the lower part of the hash range, and the others follow in
+        The own region has the lower part of the hash range and the others follow in
         the order of their names, so a change of shares moves few objects.
         """
         point = xxh3_64_intdigest(object_key) / HASH_SPAN
@@ -123,15 +124,15 @@
 
 @define
 class LostSlots:
-    """Tell when a region loses servers; one that comes and goes is lost once."""
+    """Detect the loss of a region's slots; a flapping server is counted once."""
 
-    # Slots that the region is counted to have.
+    # Confirmed number of usable slots.
     slots: int = 0
-    # Time since which it has more; None if it hasn't.
+    # Time since which more slots are usable; None if there aren't more.
     more_since: float | None = None
 
     def update(self, slots: int, now: float) -> float:
-        """Take in the slots that can be used now; return the part that was lost."""
+        """Record the usable slots; return the fraction that was lost."""
         if slots <= self.slots:
             before, self.slots = self.slots, slots
             self.more_since = None
@@ -146,7 +147,7 @@
 
 @define
 class DemandMeter:
-    """The demand for one service at one node, in slots."""
+    """A moving average of the demand for one service at one node, in slots."""
 
     # Time constant of the average.
     window_s: float = 1.5
@@ -154,12 +155,12 @@
     updated_at: float | None = None
 
     def add(self, seconds: float, now: float) -> None:
-        """Count a request that occupies a slot for a time."""
+        """Record a request that occupies a slot for some seconds."""
         self._decay(now)
         self.slots += seconds / self.window_s
 
     def read(self, now: float) -> float:
-        """Return the demand."""
+        """Return the current demand in slots."""
         self._decay(now)
         return self.slots
 
--- a/ebonybend/steering/retries.py
+++ b/ebonybend/steering/retries.py
@@ -1,18 +1,18 @@
-"""A budget for attempts after the first."""
+"""Limit retries to a budget that grows with the first attempts."""
 
 from ebonybend.clock import Clock
 
-# Share of the first attempts that may be tried again.
+# Retries that each first attempt adds to the budget.
 RETRY_RATIO = 0.1
-# Retries a second that are allowed at any load, so that a quiet entry can retry.
+# Retries per second that are allowed at any load, so that an idle entry can retry.
 MIN_RETRIES_PER_S = 3.0
-# Longest time for which unused budget is kept; a longer one would let a burst of
-# retries follow a quiet period.
+# Time for which unused budget is retained. With a longer time, a burst of retries could
+# follow a quiet period.
 KEEP_S = 1.0
 
 
 class RetryBudget:
-    """Grant retries as a share of the first attempts, with a floor per second."""
+    """Allow retries in proportion to the first attempts, with a minimum rate."""
 
     def __init__(self, clock: Clock):
         self.clock = clock
@@ -26,16 +26,16 @@
         self._updated = now
         most = MIN_RETRIES_PER_S * KEEP_S
         self.floor = min(most, self.floor + elapsed * MIN_RETRIES_PER_S)
-        # Earned tokens fade within KEEP_S, so they follow the present load.
+        # Earned tokens decay within BUDGET_LIFETIME_S, so they follow the current load.
         self.earned *= max(0.0, 1.0 - elapsed / KEEP_S)
 
     def first_attempt(self) -> None:
-        """Count a first attempt."""
+        """Record a first attempt."""
         self._update()
         self.earned += RETRY_RATIO
 
     def take(self) -> bool:
-        """Take a token for one retry; return False if none is left."""
+        """Acquire a token for one retry; return whether one was available."""
         self._update()
         if self.earned >= 1.0:
             self.earned -= 1.0
--- a/ebonybend/steering/returns.py
+++ b/ebonybend/steering/returns.py
@@ -1,31 +1,32 @@
-"""Tell callers that come back after a refusal from those that ask the first time.
+"""Detect client retries after a refusal by the deadlines that they state.
 
-A client states the time that it still waits. First attempts of a route share a few
-common values, and a client that comes back states an uncommon, shorter one.
+A client states how long it still waits. First attempts on a route share a few common
+deadlines, and a retrying client states an uncommon, shorter one.
 """
 
 from collections import Counter
 
 from attrs import define, field
 
-# A deadline below this part of the route's most common one may be of a return.
+# A retry's deadline is below this fraction of the route's most common one.
 RETURNED_PART = 0.95
-# Part of the deadlines from which on a value is common.
+# Fraction of a route's deadlines from which a value is common.
 COMMON_PART = 0.03
-# Deadlines that are counted before old ones lose weight; some seconds of a busy route.
+# Number of deadlines at which the counts are halved, so that old ones lose weight; a
+# busy route reaches it in some seconds.
 MOST_COUNTED = 400
 
 
 @define
 class _Deadlines:
-    """How often each deadline of a route was stated lately."""
+    """How often each deadline of a route was stated recently."""
 
     counts: Counter[float] = field(factory=Counter)
     total: int = 0
     most_common: float = 0.0
 
     def add(self, deadline_s: float) -> int:
-        """Count a deadline; return how often it was stated."""
+        """Count a deadline; return its count."""
         self.counts[deadline_s] += 1
         self.total += 1
         count = self.counts[deadline_s]
@@ -39,13 +40,13 @@
 
 
 class ReturnDetector:
-    """Compare a request's deadline with the common ones of its route."""
+    """Detect retries by comparing deadlines with the common ones of the route."""
 
     def __init__(self) -> None:
         self.routes: dict[str, _Deadlines] = {}
 
     def has_returned(self, route: str, deadline_s: float) -> bool:
-        """Take in a request's deadline; tell whether its caller comes back."""
+        """Record a request's deadline; return whether it is a client retry."""
         known = self.routes.get(route)
         if known is None:
             known = self.routes[route] = _Deadlines()
@@ -55,5 +56,5 @@
         return deadline_s < known.most_common * RETURNED_PART
 
     def retain(self, routes: set[str]) -> None:
-        """Forget routes that no longer exist."""
+        """Drop routes that no longer exist."""
         self.routes = {n: d for n, d in self.routes.items() if n in routes}
--- a/ebonybend/steering/routes.py
+++ b/ebonybend/steering/routes.py
@@ -1,4 +1,4 @@
-"""Find the route of a request, and the service that takes it."""
+"""Find the route of a request, and the service that runs it."""
 
 from collections.abc import Iterable
 
@@ -8,7 +8,7 @@
 
 
 class RouteTable:
-    """The routes of one configuration by host and longest prefix."""
+    """The routes of one configuration, matched by host and longest path prefix."""
 
     def __init__(self, routes: Iterable[Route]):
         self.hosts: dict[str, dict[str, Route]] = {}
@@ -31,14 +31,14 @@
 
 @define
 class _Turn:
-    """A route's parts and how far each is behind its share."""
+    """The round-robin state of a route: the credit of each part."""
 
     parts: tuple[RoutePart, ...]
     credits: list[float] = field(factory=list)
 
 
 class PartChooser:
-    """Divide each route's requests between its parts by weight.
+    """Divide each route's requests between its parts by weighted round-robin.
 
     Each request adds every part's share to its credit and goes to the part with the
     largest credit, so the counts never differ from the shares by more than one.
@@ -48,7 +48,7 @@
         self.turns: dict[str, _Turn] = {}
 
     def choose(self, route: Route) -> RoutePart:
-        """Return the part that takes the next request."""
+        """Return the part that gets the next request."""
         if len(route.parts) == 1:
             return route.parts[0]
         turn = self.turns.get(route.name)
--- a/ebonybend/steering/server_state.py
+++ b/ebonybend/steering/server_state.py
@@ -1,4 +1,4 @@
-"""What a node believes of each backend server, from the list and from answers."""
+"""Track load, latency and failures of backend servers from the list and answers."""
 
 from collections.abc import Iterable, Mapping
 
@@ -7,40 +7,40 @@
 from ebonybend.steering.shared_rates import ColdPacer
 from ebonybend.world import BackendServer, LifeState
 
-# Weight of a new answer in a moving average; about the last ten answers count.
+# Weight of a new sample in a moving average, which spans about the last ten answers.
 GAIN = 0.2
-# A reported load says less the older it is, and nothing after this time: about two warm
-# requests, by which what was counted has left.
+# The weight of a reported load falls to zero over this time: that of about two requests
+# to warm objects, after which the counted requests have finished.
 LOAD_LIFETIME_S = 0.4
-# Failures in a row after which a server is left out for a time.
+# Consecutive failures after which a server is ejected for a time.
 FAILURES_TO_EJECT = 3
 FIRST_EJECTION_S = 1.0
 LONGEST_EJECTION_S = 8.0
-# A server that refuses connections is tried again after this time.
+# First ejection time of a server that refuses connections.
 REFUSED_PAUSE_S = 0.5
-# Part of a service's servers in a region that may be left out at once.
+# Largest fraction of a service's servers in a region that may be ejected at once.
 MOST_EJECTED_SHARE = 0.5
 
 
 @define
 class ServerState:
-    """One backend server as this node sees it."""
+    """The load, latency and failures of one backend server as this node sees them."""
 
     server: BackendServer
     in_flight: int = 0
-    # Requests of other senders at the last report, and the time of the report.
+    # Requests of other senders at the last load report, and the time of the report.
     others: float = 0.0
     reported_at: float = float("-inf")
-    # Mean time of answers on this server without the way; None before the first.
+    # Mean service time without network delay; None before the first answer.
     service_s: float | None = None
-    # Time on this server against other servers of its service.
+    # Service time relative to the service's other servers.
     slowness: float = 1.0
-    # Time to the server and back; None before the first connection.
+    # Network round-trip time; None before the first connection.
     round_trip_s: float | None = None
     failures: int = 0
     ejections: int = 0
     ejected_until: float = float("-inf")
-    # Whether no connection came about when it was left out last.
+    # Whether the last ejection was because the server couldn't be reached.
     unreached: bool = False
     cold_until: float = float("-inf")
     pacer: ColdPacer = field(factory=ColdPacer)
@@ -52,27 +52,27 @@
         return self.in_flight + self.others * weight
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether only a bounded rate may be sent."""
+        """Return whether the server is warming up and gets only a bounded rate."""
         return now < self.cold_until
 
     def is_ejected(self, now: float) -> bool:
-        """Tell whether the server is left out after failures.
+        """Return whether the server is ejected after failures.
 
-        After the pause one request at a time tries it, until an answer comes.
+        After the ejection time, it gets one request at a time until it answers one.
         """
         return now < self.ejected_until or (self.ejections > 0 and self.in_flight > 0)
 
     def is_unreachable(self, now: float) -> bool:
-        """Tell whether the server is left out because nothing reaches it."""
+        """Return whether the server is ejected because it couldn't be reached."""
         return self.unreached and self.is_ejected(now)
 
     def report(self, running: int, waiting: int, now: float) -> None:
-        """Take in the load that an answer reports."""
+        """Record the load that an answer reports."""
         self.others = max(running + waiting - self.in_flight, 0)
         self.reported_at = now
 
     def succeeded(self, seconds: float) -> None:
-        """Take in a whole answer."""
+        """Record a complete answer and the seconds that it took on the server."""
         self.failures = 0
         self.ejections = 0
         self.unreached = False
@@ -82,22 +82,22 @@
             self.service_s += GAIN * (seconds - self.service_s)
 
     def failed(self, now: float) -> None:
-        """Take in a lost answer or an answer of failure."""
+        """Record a lost answer or a server error; eject the server after several."""
         self.failures += 1
         if self.failures >= FAILURES_TO_EJECT or self.ejections > 0:
             self._eject(now, FIRST_EJECTION_S)
 
     def connected(self, seconds: float) -> None:
-        """Take in the time that a new connection took."""
+        """Update the round-trip time with the time that a connection took to open."""
         if self.round_trip_s is None:
             self.round_trip_s = seconds
         else:
-            # A connection that waited for a slot or a lost packet takes longer.
+            # Waiting for a slot or a retransmission makes a connection take longer.
             gain = GAIN if seconds > self.round_trip_s else 0.5
             self.round_trip_s += gain * (seconds - self.round_trip_s)
 
     def unreachable(self, now: float, refused: bool) -> None:
-        """Take in that no connection came about."""
+        """Eject the server because it couldn't be reached."""
         self.unreached = True
         self._eject(now, REFUSED_PAUSE_S if refused else FIRST_EJECTION_S)
 
@@ -114,19 +114,19 @@
     def __init__(self) -> None:
         self.states: dict[str, ServerState] = {}
         self.by_service: dict[str, list[ServerState]] = {}
-        # Failure domains to whose servers nothing is sent.
+        # Failure domains whose servers get no requests.
         self.evacuated: frozenset[str] = frozenset()
 
     def update(self, servers: Mapping[str, BackendServer], now: float) -> None:
-        """Take in the list of servers; keep what is known of those that stay."""
+        """Apply a list of servers; preserve the state of servers that stay listed."""
         states: dict[str, ServerState] = {}
         for name, server in servers.items():
             state = self.states.get(name)
             if state is None or _restarted(state.server, server):
                 state = ServerState(server)
             if server != state.server or state.cold_until == float("-inf"):
-                # A report repeats the time that was left when it was written, so a
-                # later end is kept only if the report itself is new.
+                # An entry states the warm-up time that remained when it was written,
+                # so an unchanged entry must not extend the warm-up.
                 state.cold_until = max(state.cold_until, now + server.cold_for_s)
             state.server = server
             states[name] = state
@@ -138,7 +138,7 @@
     def set_evacuated(
         self, domains: Iterable[str], cold_s: Mapping[str, float], now: float
     ) -> None:
-        """Take in the evacuated domains; servers that are taken back may be cold."""
+        """Set the evacuated domains; servers that are back in use may be cold."""
         evacuated = frozenset(domains)
         returned = self.evacuated - evacuated
         self.evacuated = evacuated
--- a/ebonybend/steering/shared_rates.py
+++ b/ebonybend/steering/shared_rates.py
@@ -1,19 +1,20 @@
-"""Bounds over all nodes together, kept by fixed shares without asking anyone."""
+"""Enforce limits that all nodes share, by a fixed share per node."""
 
 from collections import deque
 
-# Part of a shared bound that is used, so that differing views of the number of nodes
-# and requests on their way don't exceed it.
+# Fraction of a shared limit that is used. The rest covers requests in transit and
+# differences between the nodes' views of how many nodes there are.
 SAFE_SHARE = 0.8
-# A cold server that gets nothing never proves itself.
+# Lowest rate of a node to a cold server, which needs requests to show that it works.
 LEAST_COLD_RATE = 0.5
 
 
 class RetryWindow:
-    """Bound the repeated sends to one service in any window.
+    """Limit the retries to one service in any window.
 
-    All nodes together may repeat ratio x first sends + slack. Each node uses its own
-    first sends and an equal part of the slack, so the sum holds whoever is reachable.
+    All nodes together may send ratio x first sends + slack retries. Each node uses its
+    own first sends and an equal part of the slack, so the limit holds whichever nodes
+    are reachable.
     """
 
     def __init__(self, ratio: float, slack: float, window_s: float):
@@ -24,12 +25,12 @@
         self.repeats: deque[float] = deque()
 
     def first(self, now: float) -> None:
-        """Count a request that is sent for the first time."""
+        """Record a request that is sent for the first time."""
         self.firsts.append(now)
         self._expire(self.firsts, now)
 
     def take(self, now: float, nodes: int) -> bool:
-        """Take one repeated send; return False if none is left."""
+        """Record a retry if one is allowed now; return whether it is."""
         self._expire(self.firsts, now)
         self._expire(self.repeats, now)
         allowed = self.ratio * len(self.firsts) + self.slack / max(nodes, 1)
@@ -50,10 +51,10 @@
         self.next_at = 0.0
 
     def ready(self, now: float) -> bool:
-        """Tell whether a request may be sent now."""
+        """Return whether a request may be sent now."""
         return now >= self.next_at
 
     def sent(self, now: float, rate: float, nodes: int) -> None:
-        """Count a request; rate is what the server bears from all nodes a second."""
+        """Record a request; rate is the server's limit for all nodes per second."""
         share = max(rate * SAFE_SHARE / max(nodes, 1), LEAST_COLD_RATE)
         self.next_at = max(self.next_at, now) + 1.0 / share
--- a/ebonybend/steering/shares.py
+++ b/ebonybend/steering/shares.py
@@ -1,4 +1,4 @@
-"""Split a cap between senders, count sends in a sliding window, and lend units."""
+"""Split a cap between senders, enforce it in a sliding window, and lease units."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -7,17 +7,17 @@
 
 from ebonybend.clock import Clock
 
-# Caps bound the sends in any window of this length.
+# A cap limits the sends in any window of this length.
 WINDOW_S = 1.0
-# A borrower uses a loan for this time after it sent its request.
+# Time for which a borrower uses a lease, from the time of its request.
 LEASE_S = 2.0
-# Covers the difference in rate between two clocks over a lease.
+# Covers the drift between the two clocks over a lease.
 MARGIN_S = 0.25
-# A lender keeps lent units unused until sends under the loan have left the window.
+# A lender doesn't use leased units until sends under the lease have left the window.
 LOAN_HOLD_S = LEASE_S + WINDOW_S + MARGIN_S
-# A lender keeps one unit in this many for its own next requests.
+# A lender reserves one unit in this many for its own next requests.
 RESERVE_DIVISOR = 10
-# Members receive a changed cap within this time of each other.
+# All senders receive a changed cap within this time of one another.
 CHANGE_SPREAD_S = 5.0
 
 RAMP_FRACTION = 0.1
@@ -28,7 +28,7 @@
 
 
 def split_units(total: int, names: Iterable[str]) -> dict[str, int]:
-    """Return whole shares of a total that differ by at most one and sum to it."""
+    """Split a total into whole shares that sum to it and differ by at most one."""
     ordered = sorted(set(names))
     if not ordered:
         return {}
@@ -37,7 +37,7 @@
 
 
 class WindowLimiter:
-    """A log of send times that bounds the sends in any window."""
+    """Limit the sends in any window by a log of send times."""
 
     def __init__(self, clock: Clock, window_s: float = WINDOW_S):
         self.clock = clock
@@ -45,7 +45,7 @@
         self.sent_at: deque[float] = deque()
 
     def take(self, units: int) -> bool:
-        """Log a send if fewer than the given units are in the window."""
+        """Record a send if fewer than the given units are in the window."""
         if self.used() >= units:
             return False
         self.sent_at.append(self.clock.monotonic())
@@ -62,16 +62,16 @@
 
 @frozen
 class Loan:
-    """Units of a cap that a sender may use in place of another."""
+    """Units of a cap that a sender may use in place of the lender."""
 
     lender: str
-    # The whole loan to the borrower; it replaces earlier loans rather than adding.
+    # All units leased to the borrower; this replaces earlier leases.
     units: int
 
 
 @frozen
 class Grant:
-    """A loan until a time of the holder's clock."""
+    """A lease and its expiry by the holder's clock."""
 
     units: int
     until: float
@@ -79,17 +79,17 @@
 
 @frozen
 class CapUsage:
-    """What a sender sent under a cap in the last window."""
+    """A sender's sends under a cap in the last window."""
 
     sent: int
-    # What it may send now, loans included.
+    # Sends allowed now, including leased units.
     units: int
     # Requests refused in the last window.
     refused: int
 
 
 class CapShare:
-    """One sender's part of a cap on requests per second."""
+    """One sender's share of a cap on requests per second."""
 
     def __init__(
         self, cap: int, own: str, names: Iterable[str], clock: Clock, hold_s: float
@@ -100,10 +100,10 @@
         self.changed_at = clock.monotonic()
         self.configured = split_units(cap, names).get(own, 0)
         self.effective = self.configured
-        # Share of a changed configuration and the time when it may be used.
+        # Larger share of a changed configuration, and the time from which it applies.
         self.raised: tuple[int, float] | None = None
-        # Loans of an earlier incarnation are used until the lease ends, and sends
-        # under them stay in the window after that.
+        # Leases that an earlier incarnation granted are used until they expire, and
+        # sends under them stay in the window after that.
         self.open_at = clock.monotonic() + max(hold_s, LOAN_HOLD_S)
         self.sends = WindowLimiter(clock)
         self.refusals = WindowLimiter(clock)
@@ -111,10 +111,10 @@
         self.borrowed: dict[str, list[Grant]] = {}
 
     def take(self) -> bool:
-        """Count a send if the share allows it; return whether it does."""
+        """Record a send if the share allows it; return whether it does."""
         if self.sends.take(self.units()):
             return True
-        # The log of refusals needs no more entries than could have been lent.
+        # The log of refusals needs no more entries than units could be leased.
         self.refusals.take(max(10, 10 * self.configured))
         return False
 
@@ -126,7 +126,7 @@
         return max(0, self._own_units(now) - self._lent(now)) + self._borrowed(now)
 
     def spare(self) -> int:
-        """Return how many own units could be lent now."""
+        """Return how many own units could be leased out now."""
         now = self.clock.monotonic()
         if now < self.open_at or self.refusals.used():
             return 0
@@ -139,12 +139,12 @@
         return self.refusals.used()
 
     def lend(self, units: int, borrower: str) -> Loan:
-        """Grant or renew a loan of up to the given units in all."""
+        """Grant or renew a lease of up to the given units in total."""
         now = self.clock.monotonic()
         held = _most(self.lent.get(borrower, []), now)
-        # A lender that refuses its own requests ends its loans.
+        # A lender that refuses its own requests ends its leases.
         renewed = 0 if self.refusals.used() else held
-        # A renewal is no larger than a share that was lowered since.
+        # A renewal can't exceed a share that was lowered in the meantime.
         most = self._own_units(now) - (self._lent(now) - held)
         granted = max(0, min(units, renewed + self.spare(), most))
         if granted:
@@ -153,7 +153,7 @@
         return Loan(self.own, granted)
 
     def borrow(self, loan: Loan, sent_at: float) -> None:
-        """Use a loan that was asked for at a time of the own clock."""
+        """Use a lease that was requested at a time of the own clock."""
         if sent_at < self.changed_at:
             return
         now = self.clock.monotonic()
@@ -161,7 +161,7 @@
         self.borrowed[loan.lender] = [*grants, Grant(loan.units, sent_at + LEASE_S)]
 
     def loans(self) -> dict[str, int]:
-        """Return the units that are borrowed now, by lender."""
+        """Return the units leased from other senders now, by lender."""
         now = self.clock.monotonic()
         current = {
             lender: _most(grants, now) for lender, grants in self.borrowed.items()
@@ -169,16 +169,15 @@
         return {lender: units for lender, units in current.items() if units}
 
     def usage(self) -> CapUsage:
-        """Return the sends and the allowance of the last window."""
+        """Return the sends, allowed units and refusals of the last window."""
         return CapUsage(self.sends.used(), self.units(), self.refusals.used())
 
     def configure(self, cap: int, names: Iterable[str]) -> None:
-        """Change the cap or the senders; a smaller share counts at once.
+        """Change the cap or the senders; a smaller share applies at once.
 
-        Loans end with a changed cap: they may be more than the lender's smaller share.
-
-        A larger share waits until all senders have the change, so that the old and new
-        shares together stay within the larger cap.
+        A changed cap ends the leases from other senders, which may exceed the lender's
+        smaller share. A larger share applies only when all senders have the change, so
+        that the old and new shares together stay within the larger cap.
         """
         share = split_units(cap, names).get(self.own, 0)
         now = self.clock.monotonic()
@@ -197,7 +196,7 @@
         self.effective = min(self.effective, share)
 
     def throttle(self, cap: int, names: Iterable[str]) -> None:
-        """Use a smaller cap than the configured one, as a ramp gives it."""
+        """Apply a cap below the configured one, as a ramp does."""
         share = split_units(cap, names).get(self.own, 0)
         self._apply_raise(self.clock.monotonic())
         self.effective = min(share, self.configured)
@@ -224,17 +223,17 @@
 
 
 def _most(grants: list[Grant], now: float) -> int:
-    """Return the largest grant that has not ended."""
+    """Return the units of the largest lease that has not expired."""
     return max((grant.units for grant in grants if grant.until > now), default=0)
 
 
 class Ramp:
-    """Raises a shift's cap step by step while the receiver copes with it."""
+    """Raise a shift's cap step by step while the receiver isn't overloaded."""
 
     def __init__(self, cap: int, clock: Clock):
         self.cap = cap
         self.clock = clock
-        # Part of the cap at the start of the last step.
+        # Fraction of the cap that is in effect since the last step.
         self.fraction = RAMP_FRACTION
         self.stepped_at = clock.monotonic()
         self.paused_until = self.stepped_at
@@ -249,7 +248,7 @@
         return min(self.cap, max(1, int(self.fraction * self.cap + 1e-6)))
 
     def observe(self, latency_ms: float, refusal_rate: float) -> None:
-        """Take in the receiver's latency and its part of refused requests."""
+        """Record the receiver's latency and refusal rate; halve the cap if too high."""
         self._step()
         self.latency_ms = latency_ms
         if self.base_latency_ms is None:
@@ -265,12 +264,13 @@
         self.stepped_at += steps * RAMP_STEP_S
         if self.fraction < 1.0:
             self.fraction = min(1.0, self.fraction + steps * RAMP_FRACTION)
-        # Slow growth over many steps is the load's own, so each step has its base.
+        # Latency that grows slowly over many steps is due to the load itself, so each
+        # step is compared with the latency before it.
         self.base_latency_ms = self.latency_ms
 
     def _cut(self) -> None:
         now = self.clock.monotonic()
-        # Answers to requests sent before a cut still arrive during the pause.
+        # Answers to requests sent before the last cut still arrive during the pause.
         if now < self.paused_until:
             return
         self.fraction /= 2
--- a/ebonybend/steering/tests/test_cap_machine.py
+++ b/ebonybend/steering/tests/test_cap_machine.py
@@ -25,7 +25,7 @@
         self.cap = CapShare(CAP, name, NAMES, self.clock, 2.0)
         self.link = LinkBudget(LINK_BYTES, len(NAMES), self.clock)
         self.paused = False
-        # Actions that arrived during a pause.
+        # Messages that arrived during a pause.
         self.inbox = []
 
 
@@ -98,7 +98,7 @@
         self.post(lender, answer)
 
     def post(self, sender, action):
-        """Send a message that may be lost, late or repeated."""
+        """Deliver a message after a random delay, repeatedly, or not at all."""
         for _ in range(self.random.choice([0, 1, 1, 1, 2])):
             delay = self.random.choice([0.0, 0.0, 0.05, 0.3, 1.2, 2.5])
             self.messages.append((self.now + delay, sender, action))
@@ -131,13 +131,13 @@
     """Return the number of times in the window that ends with the last one."""
     if not times:
         return 0
-    # Sums of steps differ from the exact second by rounding.
+        # Sums of steps differ from the exact second by rounding errors.
     return len(times) - bisect_left(times, times[-1] - WINDOW_S + 1e-6)
 
 
 class LendingTest(TestCase):
     def test_uneven_load_uses_the_cap(self):
-        """Guards against a cap that is mostly unused when one sender has the load."""
+        """Guards against a cap that stays mostly unused if one sender has the load."""
         machine = CapMachine()
         machine.begin(1)
         machine.run(3.0, "a")
--- a/ebonybend/steering/tests/test_crashes.py
+++ b/ebonybend/steering/tests/test_crashes.py
@@ -5,7 +5,7 @@
 
 
 class CrashWatchTest(TestCase):
-    """Guards against a request that crashes one server after the other."""
+    """Guards against a request that crashes one server after another."""
 
     def setUp(self):
         super().setUp()
--- a/ebonybend/steering/tests/test_lapsed.py
+++ b/ebonybend/steering/tests/test_lapsed.py
@@ -17,7 +17,7 @@
 
 
 class LapsedServersTest(TestWithScenarios, TestCase):
-    """Guards against refusing all callers after an outage emptied the list."""
+    """Guards against refusing all requests after an outage emptied the server list."""
 
     scenarios = [
         ("store was never away", {"returned_at": None, "kept": False}),
--- a/ebonybend/steering/tests/test_placement.py
+++ b/ebonybend/steering/tests/test_placement.py
@@ -47,15 +47,15 @@
 
 
 def places(found, names):
-    """Return the states of servers in the order of an object's places."""
+    """Return the states of servers in the object's order of preference."""
     ordered = sorted(names, key=lambda name: rank(b"17", name), reverse=True)
     return [found.table.states[name] for name in ordered]
 
 
 class PlacesTest(TestCase):
-    """Guards against objects that run everywhere and are warm nowhere.
+    """Guards against objects that run on all servers and so are warm on none.
 
-    Load pattern: a burst on some dozens of objects that all servers know cold.
+    Load pattern: a burst of requests for some dozens of objects, cold on all servers.
     """
 
     def setUp(self):
@@ -93,9 +93,9 @@
 
 
 class RoomTest(TestWithScenarios, TestCase):
-    """Guards against answers that are late because they waited behind others.
+    """Guards against late answers to requests that queued behind others.
 
-    Load pattern: urgent short requests beside less urgent long ones on one service.
+    Load pattern: short urgent requests and long less urgent ones on one service.
     """
 
     scenarios = [
@@ -150,9 +150,9 @@
 
 
 class FirstSecondsTest(TestCase):
-    """Guards against queues on servers of which nothing is known.
+    """Guards against queues on servers whose service times are unknown.
 
-    Load pattern: the first second of a day, when every object is cold.
+    Load pattern: the first second of traffic, when every object is cold.
     """
 
     def test_no_queue_before_the_first_answer(self):
@@ -164,9 +164,9 @@
 
 
 class UrgentTest(TestWithScenarios, TestCase):
-    """Guards against long requests that make short urgent ones late.
+    """Guards against long requests that delay short urgent ones past their objective.
 
-    Load pattern: requests of 144 ms that are due in 150 ms beside ones of 880 ms.
+    Load pattern: requests of 144 ms with an objective of 150 ms, and ones of 880 ms.
     """
 
     scenarios = [
@@ -218,7 +218,7 @@
 
 
 class RegionTest(TestCase):
-    """Guards against a region without servers that refuses everything."""
+    """Guards against refusing all requests of a region without usable servers."""
 
     def test_another_region_takes_over(self):
         found = placement(server("far", region="montego"))
@@ -236,7 +236,7 @@
         )
 
     def test_nothing_is_in_reach(self):
-        """Load pattern: the node itself is cut off, so no server is at fault."""
+        """Load pattern: the node itself is cut off, while the servers are healthy."""
         found = placement(server("s0"), server("s1"))
         for state in found.table.states.values():
             state.unreachable(0.0, False)
--- a/ebonybend/steering/tests/test_regions.py
+++ b/ebonybend/steering/tests/test_regions.py
@@ -14,10 +14,10 @@
 
 
 class TargetSharesTest(TestWithScenarios, TestCase):
-    """Guards against objects that move without need, or into a full region.
+    """Guards against objects that move without need, or to a region without capacity.
 
-    Load pattern: a third of the callers beside a sixth of the slots, and a crowd that
-    moves between regions.
+    Load pattern: a region with a third of the clients and a sixth of the slots, and
+    load that moves between regions.
     """
 
     scenarios = [
@@ -54,10 +54,10 @@
 
 
 class RegionSharesTest(TestCase):
-    """Guards against a shift of requests above its bound, and against churn."""
+    """Guards against moving more requests than allowed, and against needless moves."""
 
     def moved(self, shares, steps, period_s):
-        """Return the largest part of the objects that moved in one window."""
+        """Return the largest fraction of the objects that moved in one window."""
         target = {"k": 0.0, "m": 1.0}
         capacity = {"k": 10.0, "m": 10.0}
         before = {}
@@ -83,7 +83,7 @@
         self.assertLess(changed / len(KEYS), 0.05)
 
     def test_shares_are_right_before_the_first_request(self):
-        """Load pattern: servers that join one by one before traffic begins."""
+        """Load pattern: servers that start one by one before traffic begins."""
         shares = RegionShares("k")
         shares.follow({"m": 1.0}, {"m": 3.0}, 0.15, 0.0, in_use=False)
         shares.follow({"k": 1.0}, {"k": 9.0, "m": 9.0}, 0.15, 0.7, in_use=False)
@@ -102,9 +102,9 @@
 
 
 class StartTest(TestCase):
-    """Guards against a region that is full from the first second of traffic.
+    """Guards against a region that is overloaded from the first second of traffic.
 
-    Load pattern: as many callers in each region, and most slots in one of them.
+    Load pattern: equal traffic from each region, and most slots in one of them.
     """
 
     def test_shares_before_any_demand_is_known(self):
@@ -115,7 +115,7 @@
 
 
 class LostSlotsTest(TestWithScenarios, TestCase):
-    """Guards against a region that keeps the callers of servers that it lost."""
+    """Guards against a region that keeps the load of servers that it lost."""
 
     scenarios = [
         ("first count", {"counts": [10], "lost": [0.0]}),
@@ -140,7 +140,7 @@
 
 
 class DemandMeterTest(TestCase):
-    """Guards against a demand that is off by the rate or stays after the load."""
+    """Guards against a demand with a wrong rate, or one that outlasts the load."""
 
     def test_steady_rate(self):
         meter = DemandMeter()
--- a/ebonybend/steering/tests/test_retries.py
+++ b/ebonybend/steering/tests/test_retries.py
@@ -6,7 +6,7 @@
 
 
 class RetryBudgetTest(TestWithScenarios, TestCase):
-    """Guards against retries that multiply an overload, and against none at all."""
+    """Guards against retries that amplify an overload, and against having none."""
 
     scenarios = [
         ("quiet", {"rate": 0, "seconds": 10, "least": 30, "most": 33}),
--- a/ebonybend/steering/tests/test_server_state.py
+++ b/ebonybend/steering/tests/test_server_state.py
@@ -13,9 +13,9 @@
 
 
 class EjectionTest(TestWithScenarios, TestCase):
-    """Guards against callers that all wait for a server that no longer answers.
+    """Guards against many clients that wait for a server that no longer answers.
 
-    Load pattern: servers without power, and servers that fail in turns.
+    Load pattern: servers that lose power, and servers that fail one after another.
     """
 
     scenarios = [
@@ -56,9 +56,9 @@
 
 
 class LoadTest(TestWithScenarios, TestCase):
-    """Guards against refusals for requests that have long left a server.
+    """Guards against refusals because of requests that have finished long ago.
 
-    Load pattern: a burst on all servers, of which each node hears by turns.
+    Load pattern: a burst on all servers, each of which reports to one node at a time.
     """
 
     scenarios = [
--- a/ebonybend/steering/tests/test_shared_rates.py
+++ b/ebonybend/steering/tests/test_shared_rates.py
@@ -10,7 +10,7 @@
 
 
 class RetryWindowTest(TestWithScenarios, TestCase):
-    """Guards against more repeated sends than all nodes together may make."""
+    """Guards against more retries than all nodes together may send."""
 
     scenarios = [
         ("no load", {"firsts_per_s": 0}),
@@ -41,7 +41,7 @@
 
 
 class ColdPacerTest(TestCase):
-    """Guards against a cold server that is sent more than it bears."""
+    """Guards against a cold server that gets a higher rate than it can handle."""
 
     def test_rate_of_all_nodes(self):
         rate, factor, slack = 16.0, 1.5, 5.0
@@ -63,7 +63,7 @@
 
 
 class RouteTableTest(TestWithScenarios, TestCase):
-    """Guards against a request that takes another route than its own."""
+    """Guards against a request that is matched to the wrong route."""
 
     scenarios = [
         ("exact", {"path": "/a/", "found": "a"}),
@@ -83,7 +83,7 @@
 
 
 class PartChooserTest(TestCase):
-    """Guards against parts that get another share than their weight."""
+    """Guards against parts whose traffic differs from their weight."""
 
     def test_shares(self):
         chooser = PartChooser()
@@ -93,9 +93,9 @@
 
 
 class ReturnDetectorTest(TestWithScenarios, TestCase):
-    """Guards against callers that waited and are refused before newcomers.
+    """Guards against refusing clients that already waited rather than new ones.
 
-    Load pattern: most clients wait for 1.2 s, a few are more patient, some come back.
+    Load pattern: most clients wait for 1.2 s, a few for longer, and some retry.
     """
 
     scenarios = [
--- a/ebonybend/steering/tests/test_shares.py
+++ b/ebonybend/steering/tests/test_shares.py
@@ -9,7 +9,7 @@
 
 class SplitTest(TestCase):
     def test_shares_sum_to_the_cap(self):
-        """Guards against a cap that rounding raises."""
+        """Guards against shares that exceed the cap by rounding."""
         for cap in (0, 1, 6, 7, 20, 1000):
             shares = split_units(cap, NAMES)
             self.assertEqual(cap, sum(shares.values()))
@@ -18,7 +18,7 @@
 
 class WindowLimiterTest(TestCase):
     def test_window_slides(self):
-        """Guards against a double load at the edge of fixed windows."""
+        """Guards against twice the load at the boundary of fixed windows."""
         clock = ManualClock()
         limiter = WindowLimiter(clock, 1.0)
         clock.advance(0.9)
@@ -39,7 +39,7 @@
         self.clock.advance(LOAN_HOLD_S)
 
     def test_loan_moves_units(self):
-        """Guards against units that two senders use."""
+        """Guards against units that both the lender and the borrower use."""
         loan = self.lender.lend(50, "entry-1")
         self.assertEqual(18, loan.units)
         self.borrower.borrow(loan, self.clock.monotonic())
@@ -62,7 +62,7 @@
         self.assertEqual(10, self.lender.lend(50, "entry-1").units)
 
     def test_loan_is_renewed_until_the_lender_needs_it(self):
-        """Guards against a gap between loans, and a lender that starves."""
+        """Guards against a gap between leases, and a lender without units."""
         for _ in range(20):
             loan = self.lender.lend(18, "entry-1")
             self.assertEqual(18, loan.units)
@@ -72,7 +72,7 @@
         self.assertEqual(0, self.lender.lend(18, "entry-1").units)
 
     def test_new_incarnation_waits_for_its_predecessors_loans(self):
-        """Guards against units that a predecessor has lent and a successor uses."""
+        """Guards against using units that an earlier incarnation has leased out."""
         loan = self.lender.lend(18, "entry-1")
         self.borrower.borrow(loan, self.clock.monotonic())
         successor = CapShare(140, "entry-0", NAMES, self.clock, 2.0)
@@ -84,7 +84,7 @@
         self.assertTrue(successor.take())
 
     def test_late_and_repeated_answers_add_nothing(self):
-        """Guards against a loan that is used twice or too late."""
+        """Guards against a lease that is used twice or after its end."""
         sent_at = self.clock.monotonic()
         loan = self.lender.lend(10, "entry-1")
         self.borrower.borrow(loan, sent_at)
@@ -95,7 +95,7 @@
         self.assertEqual(20, self.borrower.units())
 
     def test_changed_cap_is_lowered_first(self):
-        """Guards against old and new shares that exceed both caps together."""
+        """Guards against old and new shares whose sum exceeds both caps."""
         self.lender.configure(70, NAMES)
         self.assertEqual(10, self.lender.units())
         self.lender.configure(140, NAMES)
@@ -118,7 +118,7 @@
             self.ramp.observe(latency_ms, refusal_rate)
 
     def test_ramp_reaches_the_cap(self):
-        """Guards against a shift that arrives at cold caches at once."""
+        """Guards against a shift that sends all its traffic to cold caches at once."""
         self.assertEqual(10, self.ramp.current())
         self.run_to(4)
         self.assertEqual(50, self.ramp.current())
@@ -126,7 +126,7 @@
         self.assertEqual(100, self.ramp.current())
 
     def test_cut_and_resume(self):
-        """Guards against a ramp that ignores its receiver, and cuts to nothing."""
+        """Guards against a ramp that ignores an overload or cuts the cap to 0."""
         for trouble in [{"latency_ms": 31.0}, {"refusal_rate": 0.06}]:
             self.ramp = Ramp(100, self.clock)
             self.run_to(4)
@@ -140,7 +140,7 @@
 
 class LinkBudgetTest(TestCase):
     def test_delay_is_long_enough(self):
-        """Guards against paced answers that are refused after their delay."""
+        """Guards against delayed answers that are refused after their delay."""
         clock = ManualClock()
         budget = LinkBudget(7000, 7, clock)
         self.assertFalse(budget.charge(1))
--- a/ebonybend/store/audit_log.py
+++ b/ebonybend/store/audit_log.py
@@ -1,4 +1,4 @@
-"""The audit log in bounded objects of the platform."""
+"""The audit log, stored on the platform as objects of bounded size."""
 
 from collections.abc import Iterable
 
@@ -19,21 +19,21 @@
 MAX_CHUNK_ENTRIES = 500
 # The platform accepts values up to 1 MB.
 MAX_CHUNK_BYTES = 900_000
-# Another control appends at the same time, or an answer is lost.
+# An attempt fails if another control appends at the same time or an answer is lost.
 MAX_ATTEMPTS = 12
 FINAL_FAILURES = frozenset({StoreFailureKind.UNAVAILABLE, StoreFailureKind.REJECTED})
 
 
 @frozen
 class AuditChunk:
-    """The value of an audit object; a full chunk doesn't change any more."""
+    """The value of an audit object; a full chunk never changes."""
 
     entries: tuple[AuditEntry, ...] = ()
 
 
 @frozen
 class _Found:
-    """A chunk with its number and its version, 0 if it doesn't exist."""
+    """A chunk with its number and its version, which is 0 if it doesn't exist."""
 
     number: int
     version: int
@@ -54,7 +54,7 @@
         self.number: int | None = None
 
     async def append(self, entries: Iterable[AuditEntry]) -> Result[None, StoreFailure]:
-        """Append entries; one that a lost answer had written is not repeated."""
+        """Append entries once each, even if the answer to a write is lost."""
         left = list(entries)
         located = await self._last_number()
         if not isinstance(located, Success):
@@ -62,8 +62,8 @@
         number = located.unwrap()
         failure = StoreFailure(StoreFailureKind.CONFLICT, "too many conflicts")
         for _ in range(MAX_ATTEMPTS):
-            # After a conflict or a lost answer the same chunk is read again, also if
-            # it is full by now: the lost write may have filled it.
+            # After a conflict or a lost answer the same chunk is read again, even if it
+            # is full by now, because the lost write may have filled it.
             found = await self._read(number)
             if not isinstance(found, Success):
                 return Failure(found.failure())
@@ -109,7 +109,7 @@
         return await self.store.put(KIND, name, value, chunk.version)
 
     async def _last_number(self) -> Result[int, StoreFailure]:
-        """Return the number of the chunk that was used last."""
+        """Return the number of the chunk that was last used."""
         if self.number is not None:
             return Success(self.number)
         located = await self._locate()
@@ -130,7 +130,7 @@
         return found
 
     async def _locate(self) -> Result[int, StoreFailure]:
-        """Find the last chunk in steps that double, then halve."""
+        """Find the last chunk by exponential search, then by binary search."""
         low, step = 0, 1
         growing = True
         while step:
@@ -173,7 +173,7 @@
 def _fitting(
     present: tuple[AuditEntry, ...], entries: list[AuditEntry]
 ) -> list[AuditEntry]:
-    """Return the first of the entries that still fit into a chunk."""
+    """Return the leading entries that still fit into a chunk."""
     room = MAX_CHUNK_ENTRIES - len(present)
     left = MAX_CHUNK_BYTES - _size(present)
     fitting: list[AuditEntry] = []
--- a/ebonybend/store/client.py
+++ b/ebonybend/store/client.py
@@ -1,4 +1,4 @@
-"""The platform's object API: what it offers, and a client over HTTP."""
+"""The interface of the platform's object store, and a client over HTTP."""
 
 from collections.abc import Awaitable, Callable
 from enum import Enum
@@ -14,21 +14,21 @@
 from ebonybend.http_client import HttpAnswer, HttpClient, NotSent, RequestFailed
 
 CALL_TIMEOUT_S = 2.0
-# Added to the time that the platform may hold a watch before it answers.
+# Added to the time for which the platform may hold a watch before it answers.
 WATCH_MARGIN_S = 2.0
 # Objects are below 1 MB; a list of many stays below this size.
 MAX_ANSWER_BYTES = 64 << 20
-# msgspec decodes no Raw field whose default comes from a factory.
+# msgspec can't decode a Raw field whose default comes from a factory.
 NULL = Raw(b"null")
 
 
 class StoreFailureKind(Enum):
-    """Why a call to the object store gave no result."""
+    """Why a call to the object store returned no result."""
 
-    # The object has another version than the caller stated; nothing was written.
+    # The object's version isn't the one that was stated; nothing was written.
     CONFLICT = "conflict"
     NOT_FOUND = "not_found"
-    # The platform refused the call for another reason; nothing was written.
+    # The platform rejected the call for another reason; nothing was written.
     REJECTED = "rejected"
     # The call didn't reach the platform.
     UNAVAILABLE = "unavailable"
@@ -60,7 +60,7 @@
 
     kind: StoreFailureKind
     message: str
-    # On a conflict, the object that is stored; None if there is none.
+    # On a conflict, the stored object; None if there is none.
     current: StoredObject | None = None
 
 
@@ -78,13 +78,13 @@
     async def put(
         self, kind: str, name: str, value: bytes, version: int
     ) -> Result[int, StoreFailure]:
-        """Write JSON if the object has a version (0: doesn't exist); return the new."""
+        """Write JSON if the version matches (0: no object); return the new version."""
         ...
 
     async def watch(
         self, kind: str, since: int, timeout_ms: int
     ) -> Result[ObjectList, StoreFailure]:
-        """Return the objects changed since a version, or none after the time-out."""
+        """Return the objects changed since a version, or none after the timeout."""
         ...
 
 
@@ -102,7 +102,7 @@
     if answer.status == 412:
         return StoreFailure(StoreFailureKind.CONFLICT, message, _current(answer.body))
     if answer.status >= 500:
-        # A gateway may answer 5xx after the store has run the call.
+        # A gateway may answer 5xx after the store has executed the call.
         return StoreFailure(StoreFailureKind.ANSWER_LOST, message)
     return StoreFailure(StoreFailureKind.REJECTED, message)
 
@@ -115,12 +115,12 @@
 
 
 class PlatformClient:
-    """The object store behind the platform's HTTP API."""
+    """A client of the platform's object store over HTTP."""
 
     def __init__(self, http: HttpClient, address: str):
         self.http = http
         self.address = address
-        # Calls since the start, for metrics.
+        # Calls since the start, for the metrics.
         self.platform_calls = 0
 
     async def list(self, kind: str) -> Result[ObjectList, StoreFailure]:
@@ -136,7 +136,7 @@
     async def put(
         self, kind: str, name: str, value: bytes, version: int
     ) -> Result[int, StoreFailure]:
-        """Write JSON if the object has a version (0: doesn't exist); return the new."""
+        """Write JSON if the version matches (0: no object); return the new version."""
         headers = {"If-Match": str(version), "Content-Type": "application/json"}
         answer = await self._call("PUT", _path(kind, name), headers, value)
         written = answer.bind(lambda body: decode_answer(body, _Written))
@@ -145,7 +145,7 @@
     async def watch(
         self, kind: str, since: int, timeout_ms: int
     ) -> Result[ObjectList, StoreFailure]:
-        """Return the objects changed since a version, or none after the time-out."""
+        """Return the objects changed since a version, or none after the timeout."""
         path = f"/v1/watch/{quote(kind)}?since={since}&timeout_ms={timeout_ms}"
         timeout = timeout_ms / 1000 + WATCH_MARGIN_S
         answer = await self._call("GET", path, timeout=timeout)
@@ -169,7 +169,7 @@
 async def store_result(
     request: Awaitable[HttpAnswer], failure_of: Callable[[HttpAnswer], StoreFailure]
 ) -> Result[bytes, StoreFailure]:
-    """Return the body that a call to a store got, or what is known of its failure."""
+    """Return the body of the answer to a store call, or the kind of its failure."""
     try:
         answer = await request
     except NotSent as error:
@@ -182,7 +182,7 @@
 
 
 def decode_answer(body: bytes, kind: type) -> Result[Any, StoreFailure]:
-    """Return a decoded body; one that can't be read may be of a call that ran."""
+    """Return a decoded body; on an undecodable one, the call may have taken effect."""
     try:
         return Success(from_json(body, kind))
     except SteeringError as error:
--- a/ebonybend/store/rules_store.py
+++ b/ebonybend/store/rules_store.py
@@ -1,4 +1,4 @@
-"""The rules object of the platform and how a change is written to it."""
+"""The platform's rules object, and how rule changes are written to it."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -25,7 +25,7 @@
 KIND = "rules"
 NAME = "main"
 RECENT_CHANGES = 20
-# Keeps 20 differences below 100 KB, next to a text of up to 256 KB in 1 MB.
+# Keeps 20 differences below 100 KB, next to a text of up to 256 KB in a 1 MB object.
 MAX_DIFFERENCE_LINES = 20
 MAX_DIFFERENCE_LINE = 200
 # Below the 5 s for which the command-line tool waits for an answer.
@@ -35,7 +35,7 @@
 
 @frozen
 class Change:
-    """An accepted change; it is its own audit entry."""
+    """An accepted change, which is also its own audit entry."""
 
     revision: int
     change_id: str
@@ -43,7 +43,7 @@
     reason: str
     # Time of acceptance, seconds since the epoch.
     at: float
-    # Lines of the difference from the revision before.
+    # Lines of the difference from the previous revision.
     difference: tuple[str, ...] = ()
 
     def audit_entry(self) -> AuditEntry:
@@ -76,7 +76,7 @@
     archived_revision: int = 0
 
     def accepted(self, change_id: str) -> int | None:
-        """Return the revision that a change became, or None if it isn't known."""
+        """Return the revision that contains a change, or None if it isn't known."""
         if self.revision and self.change_id == change_id:
             return self.revision
         matches = (x.revision for x in self.recent if x.change_id == change_id)
@@ -85,7 +85,7 @@
 
 @frozen
 class ProposedChange:
-    """A change that an operator asks for."""
+    """A change that an operator requests."""
 
     change_id: str
     base_revision: int
@@ -117,14 +117,14 @@
 
 @frozen
 class _Read:
-    """The rules object and the version that an update is conditional on."""
+    """The rules object, and the version on which an update is conditional."""
 
     version: int
     rules: RulesObject
 
 
 class RulesStore:
-    """Write changes conditionally and resolve writes whose answer is lost."""
+    """Write changes conditionally, and resolve writes whose answer was lost."""
 
     def __init__(
         self,
@@ -139,7 +139,7 @@
         self.audit = audit
         self.timers = timers
         self.random = random
-        # The newest rules that this process knows; the platform may have lost them.
+        # The newest rules known to this process; the platform may have lost them.
         self.in_force = in_force
         self.wall = wall
         self.tasks = Tasks(timers)
@@ -154,7 +154,7 @@
         return Failure(found.failure())
 
     async def apply(self, change: ProposedChange) -> Result[RulesObject, ApplyFailure]:
-        """Write a change; return the rules that hold it, or why it isn't accepted."""
+        """Write a change; return the rules that include it, or why they don't."""
         deadline = self.timers.seconds() + APPLY_TIME_S
         backoff = Backoff(self.random)
         may_be_written = False
@@ -188,7 +188,7 @@
     ) -> Result[RulesObject, StoreFailure]:
         archived = await self._archive(found.rules)
         if not isinstance(archived, Success):
-            # The rules themselves were not touched.
+            # The rules object itself was not written.
             return Failure(
                 evolve(archived.failure(), kind=StoreFailureKind.UNAVAILABLE)
             )
@@ -239,9 +239,9 @@
         return Success(self._newest(_Read(stored.version, rules)))
 
     def _newest(self, read: _Read) -> _Read:
-        """Continue from the rules in force if the platform holds older ones.
+        """Use the rules in force if those of the platform are older.
 
-        A platform that was restored from a copy must not make revisions go down.
+        Revisions must not go down when the platform is restored from a backup.
         """
         known = self.in_force()
         if known.revision <= read.rules.revision:
@@ -254,7 +254,7 @@
 def _settled(
     rules: RulesObject, change: ProposedChange
 ) -> Result[RulesObject, ApplyFailure] | None:
-    """Return the outcome if the object alone decides it, or None."""
+    """Return the outcome of a change if the rules alone determine it, or None."""
     if rules.accepted(change.change_id) is not None:
         return Success(rules)
     if rules.revision == change.base_revision:
@@ -273,7 +273,7 @@
 
 
 def bounded_difference(old_text: str, new_text: str) -> tuple[str, ...]:
-    """Return the difference of two texts for people, cut to a bounded size."""
+    """Return the difference of two texts for display, cut to a bounded size."""
     lines = diff_rules(old_text, new_text)
     kept = tuple(line[:MAX_DIFFERENCE_LINE] for line in lines[:MAX_DIFFERENCE_LINES])
     left = len(lines) - len(kept)
--- a/ebonybend/store/tests/memory_store.py
+++ b/ebonybend/store/tests/memory_store.py
@@ -1,4 +1,4 @@
-"""An object store in memory with faults, for tests."""
+"""An in-memory object store with fault injection, for tests."""
 
 from attrs import define, evolve, field
 from msgspec import Raw
@@ -19,7 +19,7 @@
 
 @define
 class MemoryStore:
-    """The objects that all callers share."""
+    """The objects of a store that all clients share."""
 
     clock: Clock
     version: int = 0
@@ -28,7 +28,7 @@
     writes: list[tuple[str, str]] = field(factory=list)
 
     def write(self, kind, name, value, deleted=False):
-        """Write without a condition; return the new version."""
+        """Write unconditionally; return the new version."""
         self.version += 1
         stored = StoredObject(name, self.version, Raw(value), deleted)
         self.objects[kind, name] = stored
@@ -52,16 +52,16 @@
 
 @define
 class StoreClient:
-    """One caller's view of the store, with its own faults."""
+    """One client's access to the store, with its own faults."""
 
     store: MemoryStore
-    # Calls get no answer before the time-out.
+    # Calls end without an answer, at the timeout.
     down: bool = False
     # The next writes take effect without an answer.
     lose_answers: int = 0
     # The next writes have no effect and no answer.
     lose_requests: int = 0
-    # The next writes take effect this much later, without an answer.
+    # The next write takes effect this much later, without an answer.
     delay_writes_s: float = 0.0
     calls: int = 0
 
--- a/ebonybend/store/tests/test_rules_store.py
+++ b/ebonybend/store/tests/test_rules_store.py
@@ -83,7 +83,7 @@
 
 
 class ConflictTest(StoreCase):
-    """Guards against two simultaneous edits of which both or none win."""
+    """Guards against two simultaneous edits that are both accepted, or both refused."""
 
     def test_exactly_one_wins(self):
         other = self.rules_store(StoreClient(self.memory))
@@ -121,7 +121,7 @@
 
 
 class OutageTest(StoreCase):
-    """Guards against a wrong statement of what happened during an outage."""
+    """Guards against a wrong report of whether a change was written in an outage."""
 
     def test_down_from_the_start_wrote_nothing(self):
         self.client.down = True
@@ -150,7 +150,7 @@
 
 
 class AuditTest(StoreCase):
-    """Guards against a change that leaves the object without being in the log."""
+    """Guards against a change that leaves the rules object but isn't in the log."""
 
     def changes(self):
         logged = result_of(self.clock, self.store.audit.newest(1000)).unwrap()
--- a/ebonybend/store/tests/test_watcher.py
+++ b/ebonybend/store/tests/test_watcher.py
@@ -8,7 +8,7 @@
 
 
 class WatcherTest(TestCase):
-    """Guards against changes missed by a watch, and against a storm of calls."""
+    """Guards against changes that a watch misses, and against too many calls."""
 
     def setUp(self):
         super().setUp()
@@ -80,7 +80,7 @@
 
 
 class BackoffTest(TestCase):
-    """Guards against callers that come back together after an outage."""
+    """Guards against clients that all retry at the same time after an outage."""
 
     def test_grows_to_a_limit_with_jitter(self):
         first, second = Backoff(Random(1)), Backoff(Random(2))
--- a/ebonybend/store/watcher.py
+++ b/ebonybend/store/watcher.py
@@ -1,4 +1,4 @@
-"""Follow the objects of one kind with a long poll that resumes from its version."""
+"""Watch the objects of one kind by long polls that resume from the last version."""
 
 from collections.abc import Callable, Mapping
 from random import Random
@@ -16,21 +16,21 @@
 )
 from ebonybend.tasks import Tasks, Timers
 
-# Short enough that a watch over a dead connection is noticed in about 12 s; long
-# enough that a waiting watch costs the platform 0.1 calls a second.
+# Short enough to detect a dead connection in about 12 s, and long enough that an idle
+# watch costs the platform 0.1 calls per second.
 WATCH_TIMEOUT_MS = 10_000
 FIRST_BACKOFF_S = 0.2
-# The watch is back at most this time after the platform is.
+# The watch recovers at most this long after the platform does.
 LONGEST_BACKOFF_S = 5.0
-# A platform that is away is noticed this long after the last byte that it should have
-# acknowledged: the time between keep-alive probes, and the time to connect.
+# Time to detect an outage, from the last byte that the platform should have
+# acknowledged: the interval of keep-alive probes and the time to connect.
 NOTICED_AFTER_S = 1.0
 
 OnChange = Callable[[str, int, Mapping[str, StoredObject]], None]
 
 
 class Backoff:
-    """Delays that double up to a limit, each with jitter."""
+    """Delays that double up to a limit, each with random jitter."""
 
     def __init__(self, random: Random, longest_s: float = LONGEST_BACKOFF_S):
         self.random = random
@@ -38,18 +38,18 @@
         self.delay_s = FIRST_BACKOFF_S
 
     def reset(self) -> None:
-        """Start again with the first delay."""
+        """Restart from the first delay."""
         self.delay_s = FIRST_BACKOFF_S
 
     def next(self) -> float:
-        """Return the next delay in seconds: half of it is random."""
+        """Return the next delay in seconds, of which up to half is random."""
         delay = self.delay_s * (0.5 + self.random.random() / 2)
         self.delay_s = min(self.delay_s * 2, self.longest_s)
         return delay
 
 
 class Watcher:
-    """Keep the objects of one kind up to date and report each change."""
+    """Maintain a copy of the objects of one kind and report each change."""
 
     def __init__(
         self,
@@ -67,41 +67,41 @@
         self.kind = kind
         self.timers = timers
         self.on_change = on_change
-        # Pause after a change, in which further changes gather.
+        # Pause after a change, so that further changes are read in the same call.
         self.gather_s = gather_s
         self.backoff = Backoff(random, longest_backoff_s)
         self.watch_timeout_ms = watch_timeout_ms
-        # Called before the first objects after a failure are reported.
+        # Called when the platform answers after a failure, before changes are reported.
         self.on_return = on_return
         self.objects: dict[str, StoredObject] = {}
-        # None until the first list; the watch resumes from here.
+        # Version from which the watch resumes; None until the first list.
         self.version: int | None = None
         # Newest version of an object of this kind, deleted ones included.
         self.newest = 0
         self.last_contact: float | None = None
         self.failing = False
-        # Time since which every call was answered; None while calls fail.
+        # Time since which all calls were answered; None while calls fail.
         self.answered_since: float | None = None
-        # Time at which the platform was last known to be away.
+        # Time at which the platform was last known to be unavailable.
         self.away_at = float("-inf")
         self.asked_at = 0.0
         self.waiting: Deferred[bool] | None = None
         self.tasks: Tasks | None = None
 
     def start(self) -> None:
-        """Watch until stopped; continue from the version reached before."""
+        """Watch until stopped, from the last version if there is one."""
         if self.tasks is None:
             self.tasks = Tasks(self.timers)
             self.tasks.start(self._run(self.tasks))
 
     def stop(self) -> None:
-        """Stop watching; keep the objects and the version."""
+        """Stop the watch, and retain the objects and the version."""
         if self.tasks is not None:
             self.tasks.stop()
             self.tasks = None
 
     def hurry(self) -> None:
-        """List the objects anew instead of waiting for a watch that may be dead."""
+        """List all objects again instead of waiting for a watch that may be dead."""
         self.version = None
         if self.waiting is not None:
             self.waiting.cancel()
@@ -132,12 +132,12 @@
         if self.version is None:
             return await self.read()
         since = self.version
-        # After a failure an answer at once tells that the platform is back; a long
-        # poll would tell it 10 s later.
+        # After a failure, an immediate answer shows that the platform has recovered; a
+        # long poll would show it 10 s later.
         timeout_ms = 0 if self.failing else self.watch_timeout_ms
         answer = await self.store.watch(self.kind, since, timeout_ms)
         if isinstance(answer, Success) and answer.unwrap().version < since:
-            # The platform lost its state or forgot this version: read everything.
+            # The platform lost its state or no longer has this version, so list all.
             self.version = None
             return True
         return self._take(answer, whole=False)
@@ -171,7 +171,7 @@
     def _failed(self, failure: StoreFailure) -> None:
         self.away_at = self.asked_at
         if not self.failing:
-            # The watch may have waited long before the platform went away.
+            # The watch may have been open long before the outage began.
             noticed = self.timers.seconds() - NOTICED_AFTER_S
             self.away_at = max(self.asked_at, noticed)
             get_logger().warning("watch_failed", kind=self.kind, error=failure.message)
--- a/ebonybend/world/__init__.py
+++ b/ebonybend/world/__init__.py
@@ -1,4 +1,4 @@
-"""The machines, regions, links and contracts that the system steers between."""
+"""The servers, instances, regions, links and contracts between which requests go."""
 
 from ebonybend.world.backend_server import BackendServer, ServerState
 from ebonybend.world.contract import Contract, Service
--- a/ebonybend/world/backend_server.py
+++ b/ebonybend/world/backend_server.py
@@ -8,7 +8,7 @@
 
 
 class ServerState(Enum):
-    """A backend server's readiness as probes and answers show it."""
+    """A backend server's readiness as probes and answers report it."""
 
     READY = "ready"
     COLD = "cold"
@@ -24,13 +24,13 @@
     service: str
     failure_domain: str
     address: str
-    # Requests that it can run at the same time.
+    # Greatest number of concurrent requests.
     slots: int
-    # Connections that it accepts.
+    # Greatest number of open connections.
     connections: int = 300
     state: LifeState = LifeState.LIVE
     region: str = ""
-    # Start of the process in Unix milliseconds; 0 if the list doesn't tell it.
+    # Start of the process in Unix milliseconds; 0 if the list doesn't state it.
     started_ms: int = 0
-    # Time after this report for which the server bears only a bounded rate.
+    # Time after this entry was written for which the server gets only a limited rate.
     cold_for_s: float = 0.0
--- a/ebonybend/world/contract.py
+++ b/ebonybend/world/contract.py
@@ -5,7 +5,7 @@
 
 @frozen
 class Contract:
-    """What a customer weighs when a request can be answered in several places."""
+    """A customer's weights for choosing between servers that can run a request."""
 
     customer: str
     latency_weight: float
--- a/ebonybend/world/deployment.py
+++ b/ebonybend/world/deployment.py
@@ -10,7 +10,7 @@
 
 @frozen
 class Deployment:
-    """Everything about the installation that changes only by planning."""
+    """The parts of an installation that change only by planning."""
 
     regions: tuple[Region, ...]
     failure_domains: tuple[FailureDomain, ...]
@@ -25,7 +25,7 @@
         return next((d for d in self.failure_domains if d.name == name), None)
 
     def domain_of_instance(self, instance: str) -> FailureDomain | None:
-        """Return the failure domain that plans an instance, or None."""
+        """Return the failure domain for which an instance is planned, or None."""
         return next((d for d in self.failure_domains if instance in d.instances), None)
 
     def region_instances(self, region: str) -> tuple[str, ...]:
@@ -54,7 +54,7 @@
         return link.one_way_latency_ms if link else self.domain_latency_ms
 
     def contract_of(self, service: str) -> Contract:
-        """Return the contract of a service's customer, or equal weights."""
+        """Return the contract of a service's customer, or one of equal weights."""
         customer = next((s.customer for s in self.services if s.name == service), "")
         matches = (c for c in self.contracts if c.customer == customer)
         return next(matches, Contract(customer, 0.5, 0.5))
--- a/ebonybend/world/instance.py
+++ b/ebonybend/world/instance.py
@@ -6,7 +6,7 @@
 
 
 class LifeState(Enum):
-    """Whether the platform keeps a machine or is taking it away."""
+    """Whether the platform runs a machine or is about to remove it."""
 
     LIVE = "live"
     LEAVING = "leaving"
--- a/ebonybend/world/route.py
+++ b/ebonybend/world/route.py
@@ -5,7 +5,7 @@
 
 @frozen
 class RoutePart:
-    """A service that takes a share of a route's requests."""
+    """A service that gets a share of a route's requests."""
 
     service: str
     weight: float
@@ -13,7 +13,7 @@
 
 @frozen
 class Route:
-    """Where the requests of a host and a path prefix go."""
+    """How the requests for a host and a path prefix are routed."""
 
     name: str
     host: str
@@ -23,13 +23,13 @@
     parts: tuple[RoutePart, ...]
     # Backend servers to which one client attempt may be sent.
     max_sends: int
-    # Longest time for which a caller is kept waiting.
+    # Longest time that a client waits for an answer.
     timeout_s: float
-    # Time within which an answer is of full use to the caller.
+    # Latency objective: a later answer is of less use to the client.
     objective_s: float
     # 0 is the most urgent.
     priority: int
-    # Whether a server that handled the same object recently answers faster.
+    # Whether a server answers faster if it handled the same object recently.
     sticky: bool = False
     # Regions that may run the requests; empty for all.
     home_regions: tuple[str, ...] = ()
@@ -37,19 +37,19 @@
 
 @frozen
 class RoutedService:
-    """What a service's servers bear, as the operators state it."""
+    """The load limits of a service's servers, as the operators configure them."""
 
     name: str
     max_connections: int
-    # Time for which a server stays cold after its start.
+    # Time for which a server is cold after its start.
     cold_s: float
-    # Requests per second that a cold server bears from all senders together.
+    # Requests per second that a cold server accepts from all senders together.
     cold_rate: float
 
 
 @frozen
 class CallerLimits:
-    """What a caller may send, and how long it may take."""
+    """Limits on the size of a client's requests and on the time to send them."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 64 << 20
