--- a/ebonybend/steering/crashes.py
+++ b/ebonybend/steering/crashes.py
@@ -16,7 +16,7 @@
 MOST_TOLD = 4
 
 
-class CrashWatch:
+class CrashDetector:
     """Register as suspects the requests that were lost on servers that crashed."""
 
     def __init__(self, clock: Clock):
@@ -25,19 +25,19 @@
         # Lost requests by server, with the times of their losses.
         self.lost: dict[str, list[tuple[float, str]]] = {}
 
-    def request_lost(self, server: str, fingerprint: str) -> None:
+    def record_lost_request(self, server: str, fingerprint: str) -> None:
         """Record a request whose connection ended before its answer."""
         now = self.clock.monotonic()
         recent = self._recent(server, now)
         self.lost[server] = [*recent, (now, fingerprint)]
 
-    def connection_refused(self, server: str) -> None:
+    def record_refused_connection(self, server: str) -> None:
         """Record a crash of a server that refuses connections after lost requests."""
         recent = self._recent(server, self.clock.monotonic())
         self.lost.pop(server, None)
         if recent:
             names = {fingerprint for _, fingerprint in recent}
-            self.registry.crashed(names, False, server)
+            self.registry.record_crash(names, False, server)
 
     def is_refused(self, fingerprint: str) -> bool:
         """Return whether a request has crashed too many servers."""
@@ -47,7 +47,7 @@
         """Return whether there is any suspect."""
         return bool(self.registry.suspects)
 
-    def told(self) -> tuple[SuspectView, ...]:
+    def suspects_to_report(self) -> tuple[SuspectView, ...]:
         """Return the suspects for the heartbeat, those with most crashes first."""
         views = sorted(self.registry.views(), key=lambda v: (-v.crashes, v.age_ms))
         return tuple(views[:MOST_TOLD])
--- a/ebonybend/steering/lapsed.py
+++ b/ebonybend/steering/lapsed.py
@@ -11,23 +11,25 @@
 SETTLE_MARGIN_S = 0.3
 
 
-class LapsedServers:
+class ExpiredServers:
     """Determine which servers stay in use although the list no longer has them."""
 
     def __init__(self) -> None:
         # Time until which missing servers are retained.
         self.until = float("-inf")
 
-    def store_returned(self, now: float, away_at: float, settle_s: float) -> None:
+    def record_store_recovery(
+        self, now: float, unavailable_at: float, settle_s: float
+    ) -> None:
         """Retain missing servers for a time after the store recovers for this node.
 
         unavailable_at is the last time at which the store was known to be unavailable.
         The node has to be up to date once it has reached the store for settle_s.
         """
-        settled_at = away_at + settle_s - SETTLE_MARGIN_S
+        settled_at = unavailable_at + settle_s - SETTLE_MARGIN_S
         self.until = min(now + RETURN_GRACE_S, settled_at)
 
-    def store_answered_since(self, time: float) -> None:
+    def record_store_available_since(self, time: float) -> None:
         """Record that the store has answered another node since a time.
 
         Running servers restore expired entries within the grace time after that, so a
@@ -35,7 +37,7 @@
         """
         self.until = min(self.until, time + RETURN_GRACE_S)
 
-    def left_s(self, now: float) -> float:
+    def remaining_s(self, now: float) -> float:
         """Return the seconds for which missing servers are still retained."""
         return max(self.until - now, 0.0)
 
@@ -46,7 +48,7 @@
         now: float,
     ) -> dict[str, BackendServer]:
         """Return the servers to use: the listed ones and the retained ones."""
-        if self.left_s(now) <= 0:
+        if self.remaining_s(now) <= 0:
             return dict(listed)
         addresses = {server.address for server in listed.values()}
         kept = {
--- a/ebonybend/steering/regions.py
+++ b/ebonybend/steering/regions.py
@@ -75,14 +75,14 @@
     shares: dict[str, float] = field(factory=dict)
     updated_at: float | None = None
 
-    def follow(
+    def move_toward(
         self,
         target: Mapping[str, float],
         capacity: Mapping[str, float],
-        shift_most: float,
+        max_shift: float,
         now: float,
         in_use: bool = True,
-        lost_part: float = 0.0,
+        lost_fraction: float = 0.0,
     ) -> None:
         """Move the shares toward a target.
 
@@ -98,8 +98,8 @@
             # No request changes region, or no region in use has capacity.
             self.shares = dict(target)
             return
-        step = shift_most * STEP_PART / SHIFT_WINDOW_S * elapsed
-        step += self.shares.get(self.region, 0.0) * lost_part
+        step = max_shift * STEP_PART / SHIFT_WINDOW_S * elapsed
+        step += self.shares.get(self.region, 0.0) * lost_fraction
         names = sorted({*self.shares, *target})
         change = {n: target.get(n, 0.0) - self.shares.get(n, 0.0) for n in names}
         size = sum(abs(value) for value in change.values()) / 2
@@ -123,7 +123,7 @@
 
 
 @define
-class LostSlots:
+class SlotLossDetector:
     """Detect the loss of a region's slots; a flapping server is counted once."""
 
     # Confirmed number of usable slots.
--- a/ebonybend/steering/retries.py
+++ b/ebonybend/steering/retries.py
@@ -29,12 +29,12 @@
         # Earned tokens decay within BUDGET_LIFETIME_S, so they follow the current load.
         self.earned *= max(0.0, 1.0 - elapsed / KEEP_S)
 
-    def first_attempt(self) -> None:
+    def record_first_attempt(self) -> None:
         """Record a first attempt."""
         self._update()
         self.earned += RETRY_RATIO
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Acquire a token for one retry; return whether one was available."""
         self._update()
         if self.earned >= 1.0:
--- a/ebonybend/steering/returns.py
+++ b/ebonybend/steering/returns.py
@@ -39,13 +39,13 @@
         return count
 
 
-class ReturnDetector:
+class ClientRetryDetector:
     """Detect retries by comparing deadlines with the common ones of the route."""
 
     def __init__(self) -> None:
         self.routes: dict[str, _Deadlines] = {}
 
-    def has_returned(self, route: str, deadline_s: float) -> bool:
+    def is_client_retry(self, route: str, deadline_s: float) -> bool:
         """Record a request's deadline; return whether it is a client retry."""
         known = self.routes.get(route)
         if known is None:
--- a/ebonybend/steering/server_state.py
+++ b/ebonybend/steering/server_state.py
@@ -23,7 +23,7 @@
 
 
 @define
-class ServerState:
+class TrackedServer:
     """The load, latency and failures of one backend server as this node sees them."""
 
     server: BackendServer
@@ -66,12 +66,12 @@
         """Return whether the server is ejected because it couldn't be reached."""
         return self.unreached and self.is_ejected(now)
 
-    def report(self, running: int, waiting: int, now: float) -> None:
+    def record_load(self, running: int, waiting: int, now: float) -> None:
         """Record the load that an answer reports."""
         self.others = max(running + waiting - self.in_flight, 0)
         self.reported_at = now
 
-    def succeeded(self, seconds: float) -> None:
+    def record_success(self, seconds: float) -> None:
         """Record a complete answer and the seconds that it took on the server."""
         self.failures = 0
         self.ejections = 0
@@ -81,13 +81,13 @@
         else:
             self.service_s += GAIN * (seconds - self.service_s)
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Record a lost answer or a server error; eject the server after several."""
         self.failures += 1
         if self.failures >= FAILURES_TO_EJECT or self.ejections > 0:
             self._eject(now, FIRST_EJECTION_S)
 
-    def connected(self, seconds: float) -> None:
+    def record_connect_time(self, seconds: float) -> None:
         """Update the round-trip time with the time that a connection took to open."""
         if self.round_trip_s is None:
             self.round_trip_s = seconds
@@ -96,7 +96,7 @@
             gain = GAIN if seconds > self.round_trip_s else 0.5
             self.round_trip_s += gain * (seconds - self.round_trip_s)
 
-    def unreachable(self, now: float, refused: bool) -> None:
+    def record_unreachable(self, now: float, refused: bool) -> None:
         """Eject the server because it couldn't be reached."""
         self.unreached = True
         self._eject(now, REFUSED_PAUSE_S if refused else FIRST_EJECTION_S)
@@ -112,18 +112,18 @@
     """All listed backend servers, by name and by service."""
 
     def __init__(self) -> None:
-        self.states: dict[str, ServerState] = {}
-        self.by_service: dict[str, list[ServerState]] = {}
+        self.states: dict[str, TrackedServer] = {}
+        self.by_service: dict[str, list[TrackedServer]] = {}
         # Failure domains whose servers get no requests.
         self.evacuated: frozenset[str] = frozenset()
 
     def update(self, servers: Mapping[str, BackendServer], now: float) -> None:
         """Apply a list of servers; preserve the state of servers that stay listed."""
-        states: dict[str, ServerState] = {}
+        states: dict[str, TrackedServer] = {}
         for name, server in servers.items():
             state = self.states.get(name)
             if state is None or _restarted(state.server, server):
-                state = ServerState(server)
+                state = TrackedServer(server)
             if server != state.server or state.cold_until == float("-inf"):
                 # An entry states the warm-up time that remained when it was written,
                 # so an unchanged entry must not extend the warm-up.
@@ -147,7 +147,7 @@
                 until = now + cold_s.get(state.server.service, 0.0)
                 state.cold_until = max(state.cold_until, until)
 
-    def usable(self, service: str) -> list[ServerState]:
+    def usable(self, service: str) -> list[TrackedServer]:
         """Return the servers of a service to which requests may be sent."""
         return [
             state
--- a/ebonybend/steering/shared_rates.py
+++ b/ebonybend/steering/shared_rates.py
@@ -24,12 +24,12 @@
         self.firsts: deque[float] = deque()
         self.repeats: deque[float] = deque()
 
-    def first(self, now: float) -> None:
+    def record_first_send(self, now: float) -> None:
         """Record a request that is sent for the first time."""
         self.firsts.append(now)
         self._expire(self.firsts, now)
 
-    def take(self, now: float, nodes: int) -> bool:
+    def try_acquire(self, now: float, nodes: int) -> bool:
         """Record a retry if one is allowed now; return whether it is."""
         self._expire(self.firsts, now)
         self._expire(self.repeats, now)
@@ -54,7 +54,7 @@
         """Return whether a request may be sent now."""
         return now >= self.next_at
 
-    def sent(self, now: float, rate: float, nodes: int) -> None:
+    def record_send(self, now: float, rate: float, nodes: int) -> None:
         """Record a request; rate is the server's limit for all nodes per second."""
         share = max(rate * SAFE_SHARE / max(nodes, 1), LEAST_COLD_RATE)
         self.next_at = max(self.next_at, now) + 1.0 / share
--- a/ebonybend/world/route.py
+++ b/ebonybend/world/route.py
@@ -36,7 +36,7 @@
 
 
 @frozen
-class RoutedService:
+class ServiceLimits:
     """The load limits of a service's servers, as the operators configure them."""
 
     name: str
@@ -48,7 +48,7 @@
 
 
 @frozen
-class CallerLimits:
+class ClientLimits:
     """Limits on the size of a client's requests and on the time to send them."""
 
     max_header_bytes: int = 16384
@@ -63,5 +63,5 @@
 
     version: int
     routes: tuple[Route, ...]
-    services: tuple[RoutedService, ...]
-    limits: CallerLimits = CallerLimits()
+    services: tuple[ServiceLimits, ...]
+    limits: ClientLimits = ClientLimits()
