--- a/ebonybend/steering/crashes.py
+++ b/ebonybend/steering/crashes.py
@@ -8,12 +8,12 @@
 from ebonybend.steering.suspects import SuspectRegistry, SuspectView, Verdict
 
 # A connection refused within this time after a lost answer shows a crash.
-CRASH_S = 1.5
+CRASH_WINDOW_S = 1.5
 # Other requests run beside the one that crashes a server, so one or two crashes don't
 # identify it.
 CRASHES_TO_REFUSE = 3
 # Suspects in a heartbeat, whose datagram has to stay below 1400 bytes.
-MOST_TOLD = 4
+MAX_REPORTED_SUSPECTS = 4
 
 
 class CrashDetector:
@@ -50,7 +50,9 @@
     def suspects_to_report(self) -> tuple[SuspectView, ...]:
         """Return the suspects for the heartbeat, those with most crashes first."""
         views = sorted(self.registry.views(), key=lambda v: (-v.crashes, v.age_ms))
-        return tuple(views[:MOST_TOLD])
+        return tuple(views[:MAX_REPORTED_SUSPECTS])
 
     def _recent(self, server: str, now: float) -> list[tuple[float, str]]:
-        return [(at, f) for at, f in self.lost.get(server, ()) if now - at <= CRASH_S]
+        return [
+            (at, f) for at, f in self.lost.get(server, ()) if now - at <= CRASH_WINDOW_S
+        ]
--- a/ebonybend/steering/freshness.py
+++ b/ebonybend/steering/freshness.py
@@ -6,12 +6,12 @@
 # A measurement loses half of its weight for each further period of this length.
 HALF_LIFE_MS = 3000.0
 # With a weight of zero, servers without measurements would never be used again.
-LOWEST_WEIGHT = 1 / 64
+MIN_WEIGHT = 1 / 64
 
 # The windows of remote domains shrink by a tenth for each period without a newer table.
-TIGHTENING_STEP_MS = 5000.0
-TIGHTENING_FACTOR = 0.9
-LOWEST_WINDOW_FACTOR = 0.25
+REDUCTION_STEP_MS = 5000.0
+REDUCTION_FACTOR = 0.9
+MIN_WINDOW_FACTOR = 0.25
 
 
 def age_weight(age_ms: float) -> float:
@@ -19,10 +19,10 @@
     if age_ms <= FRESH_MS:
         return 1.0
     weight = 0.5 ** ((age_ms - FRESH_MS) / HALF_LIFE_MS)
-    return max(weight, LOWEST_WEIGHT)
+    return max(weight, MIN_WEIGHT)
 
 
 def remote_window_factor(table_age_ms: float) -> float:
     """Return the factor on the windows of remote domains, from 1 down to 1/4."""
-    steps = max(0, int(table_age_ms // TIGHTENING_STEP_MS))
-    return max(TIGHTENING_FACTOR**steps, LOWEST_WINDOW_FACTOR)
+    steps = max(0, int(table_age_ms // REDUCTION_STEP_MS))
+    return max(REDUCTION_FACTOR**steps, MIN_WINDOW_FACTOR)
--- a/ebonybend/steering/lapsed.py
+++ b/ebonybend/steering/lapsed.py
@@ -5,7 +5,7 @@
 from ebonybend.world import BackendServer, LifeState
 
 # Running servers restore their entries within about 2 s after the store recovers.
-RETURN_GRACE_S = 2.2
+RECOVERY_GRACE_S = 2.2
 # A node stops using missing servers this long before it counts as settled, which covers
 # a request in transit.
 SETTLE_MARGIN_S = 0.3
@@ -27,7 +27,7 @@
         The node has to be up to date once it has reached the store for settle_s.
         """
         settled_at = unavailable_at + settle_s - SETTLE_MARGIN_S
-        self.until = min(now + RETURN_GRACE_S, settled_at)
+        self.until = min(now + RECOVERY_GRACE_S, settled_at)
 
     def record_store_available_since(self, time: float) -> None:
         """Record that the store has answered another node since a time.
@@ -35,7 +35,7 @@
         Running servers restore expired entries within the grace time after that, so a
         server that is still missing then has terminated.
         """
-        self.until = min(self.until, time + RETURN_GRACE_S)
+        self.until = min(self.until, time + RECOVERY_GRACE_S)
 
     def remaining_s(self, now: float) -> float:
         """Return the seconds for which missing servers are still retained."""
@@ -51,9 +51,9 @@
         if self.remaining_s(now) <= 0:
             return dict(listed)
         addresses = {server.address for server in listed.values()}
-        kept = {
+        retained = {
             name: server
             for name, server in known.items()
             if server.state is LifeState.LIVE and server.address not in addresses
         }
-        return {**kept, **listed}
+        return {**retained, **listed}
--- a/ebonybend/steering/placement.py
+++ b/ebonybend/steering/placement.py
@@ -6,37 +6,37 @@
 from xxhash import xxh3_64_intdigest
 
 from ebonybend.steering.server_state import (
-    MOST_EJECTED_SHARE,
+    MAX_EJECTED_FRACTION,
     ServerTable,
     TrackedServer,
 )
-from ebonybend.steering.service_times import SLOW, ServiceTimes
+from ebonybend.steering.service_times import SLOW_FACTOR, ServiceTimes
 from ebonybend.world.route import Route, ServiceLimits
 
 # Preferred servers of an object in its region. With more of them, each would see the
 # object too rarely to keep it warm.
-PLACES = 2
+PREFERRED_SERVERS = 2
 # Fraction of the latency objective that the estimated answer time may use. The rest
 # covers the network delay to the client and errors of the estimate.
-ON_TIME_PART = 0.85
+ON_TIME_FRACTION = 0.85
 # Limits on the load of a server, in running and queued requests per slot: for the most
 # urgent routes, for client retries, and for other requests. The lower limits keep the
 # wait of urgent requests short during a burst.
-URGENT_FULL_AT = 3.0
-RETURNED_FULL_AT = 2.4
-FULL_AT = 1.4
+URGENT_LOAD_LIMIT = 3.0
+RETRY_LOAD_LIMIT = 2.4
+LOAD_LIMIT = 1.4
 # The same limit while the service time is unknown.
-UNKNOWN_FULL_AT = 1.2
+UNKNOWN_TIME_LOAD_LIMIT = 1.2
 # Slots that less urgent requests leave free where urgent ones would be late if queued.
 RESERVED_SLOTS = 1
 # Servers in remote regions that are tried when the object's region is full.
-FAR_PLACES = 2
+MAX_REMOTE_SERVERS = 2
 # Bounds of the delay after which a refused client is asked to retry.
-LEAST_PAUSE_S = 0.06
-MOST_PAUSE_S = 1.0
+MIN_RETRY_AFTER_S = 0.06
+MAX_RETRY_AFTER_S = 1.0
 # A server that isn't preferred for an object runs it only while its load is below this
 # fraction of its slots.
-IDLE_PART = 0.5
+IDLE_FRACTION = 0.5
 
 
 @frozen(kw_only=True)
@@ -56,7 +56,7 @@
     excluded: Collection[str] = ()
 
 
-def rank(object_key: bytes, name: str) -> int:
+def rendezvous_weight(object_key: bytes, name: str) -> int:
     """Return a server's rendezvous-hashing weight for an object; the largest wins."""
     return xxh3_64_intdigest(object_key + b"\0" + name.encode())
 
@@ -71,42 +71,46 @@
     def choose(self, query: PlacementQuery, now: float) -> TrackedServer | None:
         """Return the server to send the request to, or None if none has capacity."""
         candidates = self._candidates(query, now)
-        near = [s for s in candidates if s.server.region == query.region]
-        ordered = self._ordered(near or candidates, query, now)
-        places = ordered[:PLACES]
-        for state in places:
-            if self._has_room(state, query, now):
+        local = [s for s in candidates if s.server.region == query.region]
+        ordered = self._by_preference(local or candidates, query, now)
+        preferred = ordered[:PREFERRED_SERVERS]
+        for state in preferred:
+            if self._has_capacity(state, query, now):
                 return state
-        idle = self._idle(ordered[PLACES:], query, now)
-        if idle is not None or not near:
+        idle = self._least_loaded_idle(ordered[PREFERRED_SERVERS:], query, now)
+        if idle is not None or not local:
             return idle
-        far = [s for s in candidates if s.server.region != query.region]
-        return self._idle(self._ordered(far, query, now)[:FAR_PLACES], query, now)
+        remote = [s for s in candidates if s.server.region != query.region]
+        return self._least_loaded_idle(
+            self._by_preference(remote, query, now)[:MAX_REMOTE_SERVERS], query, now
+        )
 
     def retry_after_s(self, query: PlacementQuery, now: float) -> float:
         """Return the estimated seconds until a preferred server has capacity."""
-        pauses = []
-        for state in self._places(query, now):
-            mean = state.service_s or query.route.objective_s
+        delays_s = []
+        for state in self._preferred(query, now):
+            mean_s = state.service_s or query.route.objective_s
             slots = state.server.slots
-            over = state.load(now) + 1 - slots * FULL_AT
-            pauses.append(max(over, 1.0) * mean / slots)
-        return min(max(min(pauses, default=0.0), LEAST_PAUSE_S), MOST_PAUSE_S)
+            excess = state.load(now) + 1 - slots * LOAD_LIMIT
+            delays_s.append(max(excess, 1.0) * mean_s / slots)
+        return min(
+            max(min(delays_s, default=0.0), MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S
+        )
 
     def describe(self, query: PlacementQuery, now: float) -> str:
         """Describe the server loads that led to a refusal, for the log."""
         loads = [
             f"{state.server.name} {state.load(now):.1f} of {state.server.slots}"
             f" (report {now - state.reported_at:.1f} s old)"
-            for state in self._places(query, now)
+            for state in self._preferred(query, now)
         ]
         return f"{len(self._candidates(query, now))} usable; " + ", ".join(loads)
 
-    def _places(self, query: PlacementQuery, now: float) -> list[TrackedServer]:
+    def _preferred(self, query: PlacementQuery, now: float) -> list[TrackedServer]:
         """Return the object's preferred servers, in its region if that has any."""
         candidates = self._candidates(query, now)
-        near = [s for s in candidates if s.server.region == query.region]
-        return self._ordered(near or candidates, query, now)[:PLACES]
+        local = [s for s in candidates if s.server.region == query.region]
+        return self._by_preference(local or candidates, query, now)[:PREFERRED_SERVERS]
 
     def _candidates(self, query: PlacementQuery, now: float) -> list[TrackedServer]:
         homes = query.route.home_regions
@@ -119,52 +123,60 @@
         ]
         return without_ejected(usable, now)
 
-    def _ordered(
+    def _by_preference(
         self, states: list[TrackedServer], query: PlacementQuery, now: float
     ) -> list[TrackedServer]:
         """Sort servers by rendezvous weight for sticky routes, otherwise by load."""
         if query.route.sticky and query.object_key:
             key = query.object_key
-            return sorted(states, key=lambda s: rank(key, s.server.name), reverse=True)
+            return sorted(
+                states,
+                key=lambda s: rendezvous_weight(key, s.server.name),
+                reverse=True,
+            )
         return sorted(states, key=lambda s: s.load(now) / s.server.slots)
 
-    def _has_room(
+    def _has_capacity(
         self, state: TrackedServer, query: PlacementQuery, now: float
     ) -> bool:
         load, slots = state.load(now), state.server.slots
         expected = self.times.expected(query.route.name, state, query.object_key)
-        way = state.round_trip_s or 0.0
-        within = query.retry_remaining_s or query.route.objective_s
-        on_time = within * ON_TIME_PART
-        if load < min(slots, self._most(state, query)):
+        round_trip_s = state.round_trip_s or 0.0
+        allowed_s = query.retry_remaining_s or query.route.objective_s
+        on_time_s = allowed_s * ON_TIME_FRACTION
+        if load < min(slots, self._load_limit(state, query)):
             # The request starts at once; a slow server has to answer on time too.
-            return state.slowness < SLOW or way + expected <= on_time
-        if load >= self._most(state, query):
+            return state.slowness < SLOW_FACTOR or round_trip_s + expected <= on_time_s
+        if load >= self._load_limit(state, query):
             return False
         if state.service_s is None or not expected:
             # The wait can't be estimated yet, and cold servers are slow at first.
-            return load < slots * UNKNOWN_FULL_AT
-        mean = state.service_s
-        wait = (load + 1 - slots) * mean / slots
-        return way + wait + expected <= on_time
+            return load < slots * UNKNOWN_TIME_LOAD_LIMIT
+        mean_s = state.service_s
+        wait = (load + 1 - slots) * mean_s / slots
+        return round_trip_s + wait + expected <= on_time_s
 
-    def _most(self, state: TrackedServer, query: PlacementQuery) -> float:
+    def _load_limit(self, state: TrackedServer, query: PlacementQuery) -> float:
         """Return the load below which a server accepts the request."""
         slots = state.server.slots
         urgent = query.urgent_route
         if urgent is None:
-            return slots * URGENT_FULL_AT
-        part = FULL_AT if query.retry_remaining_s is None else RETURNED_FULL_AT
-        needed = self.times.warm_time(urgent.name) * state.slowness
-        mean = state.service_s or 0.0
-        if not needed or not mean:
-            return slots * part
+            return slots * URGENT_LOAD_LIMIT
+        multiple = LOAD_LIMIT if query.retry_remaining_s is None else RETRY_LOAD_LIMIT
+        urgent_s = self.times.warm_time(urgent.name) * state.slowness
+        mean_s = state.service_s or 0.0
+        if not urgent_s or not mean_s:
+            return slots * multiple
         # Keep the queue short enough for an urgent request to be on time.
-        spare = urgent.objective_s * ON_TIME_PART - needed - (state.round_trip_s or 0.0)
-        queue = spare * slots / mean
-        return min(max(slots + queue, slots - RESERVED_SLOTS), slots * part)
-
-    def _idle(
+        spare_s = (
+            urgent.objective_s * ON_TIME_FRACTION
+            - urgent_s
+            - (state.round_trip_s or 0.0)
+        )
+        queue_length = spare_s * slots / mean_s
+        return min(max(slots + queue_length, slots - RESERVED_SLOTS), slots * multiple)
+
+    def _least_loaded_idle(
         self, states: list[TrackedServer], query: PlacementQuery, now: float
     ) -> TrackedServer | None:
         """Return the least loaded of the nearly idle servers that answer on time.
@@ -172,14 +184,14 @@
         The object is cold there, so a late answer would also hold a slot for the time
         of several requests to warm objects.
         """
-        on_time = query.route.objective_s * ON_TIME_PART
+        on_time_s = query.route.objective_s * ON_TIME_FRACTION
         idle = [
             s
             for s in states
-            if s.load(now) < s.server.slots * IDLE_PART
+            if s.load(now) < s.server.slots * IDLE_FRACTION
             and (s.round_trip_s or 0.0)
             + self.times.expected(query.route.name, s, query.object_key)
-            <= on_time
+            <= on_time_s
         ]
         return min(idle, key=lambda s: s.load(now) / s.server.slots, default=None)
 
@@ -193,17 +205,17 @@
     by_region: dict[str, list[TrackedServer]] = {}
     for state in states:
         by_region.setdefault(state.server.region, []).append(state)
-    kept: list[TrackedServer] = []
+    remaining: list[TrackedServer] = []
     for group in by_region.values():
         healthy = [state for state in group if not state.is_ejected(now)]
-        most = len(group) * MOST_EJECTED_SHARE
-        if len(group) - len(healthy) > most:
+        max_ejected = len(group) * MAX_EJECTED_FRACTION
+        if len(group) - len(healthy) > max_ejected:
             # So many failures at once point to the network, not to the servers.
             ejected = [state for state in group if state.is_ejected(now)]
             ejected.sort(key=lambda state: state.ejected_until)
-            healthy += ejected[: len(group) - int(most) - len(healthy)]
-        kept += healthy
-    return kept
+            healthy += ejected[: len(group) - int(max_ejected) - len(healthy)]
+        remaining += healthy
+    return remaining
 
 
 def capacity_by_region(
--- a/ebonybend/steering/regions.py
+++ b/ebonybend/steering/regions.py
@@ -11,17 +11,17 @@
 from xxhash import xxh3_64_intdigest
 
 # Utilisation of a region's slots up to which its objects stay there.
-FILL = 0.7
+TARGET_UTILISATION = 0.7
 # Fraction of the allowed change that the shares use. The rest is left for requests that
 # change region because traffic or the nodes' views vary.
-STEP_PART = 0.5
+STEP_FRACTION = 0.5
 # Window over which the fraction of requests that change region is limited.
 SHIFT_WINDOW_S = 2.0
 # A smaller share isn't moved, as its objects would be cold at first.
-LEAST_SHARE = 0.02
+MIN_SHARE = 0.02
 # Time after which recovered slots count again. An ejected server that is tried and
 # fails again is ejected for another 1 s to 8 s.
-REGAINED_AFTER_S = 4.0
+RECOVERED_AFTER_S = 4.0
 HASH_SPAN = float(1 << 64)
 
 
@@ -35,21 +35,23 @@
     own_demand = demand.get(region, 0.0)
     total_capacity = sum(capacity.values())
     if own_demand <= 0 or total_capacity <= 0:
-        return {region: 1.0} if capacity.get(region, 0.0) > 0 else _by_room(capacity)
-    fill = max(FILL, sum(demand.values()) / total_capacity)
-    excess = own_demand - fill * capacity.get(region, 0.0)
-    if excess <= LEAST_SHARE * own_demand:
+        return (
+            {region: 1.0} if capacity.get(region, 0.0) > 0 else _by_capacity(capacity)
+        )
+    utilisation = max(TARGET_UTILISATION, sum(demand.values()) / total_capacity)
+    excess = own_demand - utilisation * capacity.get(region, 0.0)
+    if excess <= MIN_SHARE * own_demand:
         return {region: 1.0}
-    room = {
-        name: max(fill * slots - demand.get(name, 0.0), 0.0)
+    spare = {
+        name: max(utilisation * slots - demand.get(name, 0.0), 0.0)
         for name, slots in capacity.items()
         if name != region
     }
-    total_room = sum(room.values())
-    if total_room <= 0:
+    total_spare = sum(spare.values())
+    if total_spare <= 0:
         return {region: 1.0}
-    moved = min(excess, total_room) / own_demand
-    shares = {name: moved * value / total_room for name, value in room.items()}
+    moved = min(excess, total_spare) / own_demand
+    shares = {name: moved * value / total_spare for name, value in spare.items()}
     shares[region] = 1.0 - moved
     return shares
 
@@ -58,11 +60,11 @@
     regions: Collection[str], capacity: Mapping[str, float]
 ) -> dict[str, float]:
     """Return an equal demand per region, to assume while the demand is unknown."""
-    total = FILL * sum(capacity.values())
+    total = TARGET_UTILISATION * sum(capacity.values())
     return {region: total / len(regions) for region in regions}
 
 
-def _by_room(capacity: Mapping[str, float]) -> dict[str, float]:
+def _by_capacity(capacity: Mapping[str, float]) -> dict[str, float]:
     total = sum(capacity.values())
     return {name: slots / total for name, slots in capacity.items()} if total else {}
 
@@ -98,13 +100,13 @@
             # No request changes region, or no region in use has capacity.
             self.shares = dict(target)
             return
-        step = max_shift * STEP_PART / SHIFT_WINDOW_S * elapsed
+        step = max_shift * STEP_FRACTION / SHIFT_WINDOW_S * elapsed
         step += self.shares.get(self.region, 0.0) * lost_fraction
         names = sorted({*self.shares, *target})
         change = {n: target.get(n, 0.0) - self.shares.get(n, 0.0) for n in names}
-        size = sum(abs(value) for value in change.values()) / 2
-        part = 1.0 if size <= step else step / size
-        shares = {n: self.shares.get(n, 0.0) + change[n] * part for n in names}
+        distance = sum(abs(value) for value in change.values()) / 2
+        fraction = 1.0 if distance <= step else step / distance
+        shares = {n: self.shares.get(n, 0.0) + change[n] * fraction for n in names}
         self.shares = {n: share for n, share in shares.items() if share > 1e-6}
 
     def region_of(self, object_key: bytes) -> str:
@@ -129,19 +131,19 @@
     # Confirmed number of usable slots.
     slots: int = 0
     # Time since which more slots are usable; None if there aren't more.
-    more_since: float | None = None
+    increased_since: float | None = None
 
     def update(self, slots: int, now: float) -> float:
         """Record the usable slots; return the fraction that was lost."""
         if slots <= self.slots:
             before, self.slots = self.slots, slots
-            self.more_since = None
+            self.increased_since = None
             return 1.0 - slots / before if before else 0.0
-        if self.more_since is None:
-            self.more_since = now
-        if self.slots == 0 or now - self.more_since >= REGAINED_AFTER_S:
+        if self.increased_since is None:
+            self.increased_since = now
+        if self.slots == 0 or now - self.increased_since >= RECOVERED_AFTER_S:
             self.slots = slots
-            self.more_since = None
+            self.increased_since = None
         return 0.0
 
 
--- a/ebonybend/steering/retries.py
+++ b/ebonybend/steering/retries.py
@@ -8,7 +8,7 @@
 MIN_RETRIES_PER_S = 3.0
 # Time for which unused budget is retained. With a longer time, a burst of retries could
 # follow a quiet period.
-KEEP_S = 1.0
+BUDGET_LIFETIME_S = 1.0
 
 
 class RetryBudget:
@@ -16,7 +16,7 @@
 
     def __init__(self, clock: Clock):
         self.clock = clock
-        self.floor = MIN_RETRIES_PER_S * KEEP_S
+        self.floor = MIN_RETRIES_PER_S * BUDGET_LIFETIME_S
         self.earned = 0.0
         self._updated = clock.monotonic()
 
@@ -24,10 +24,10 @@
         now = self.clock.monotonic()
         elapsed = now - self._updated
         self._updated = now
-        most = MIN_RETRIES_PER_S * KEEP_S
-        self.floor = min(most, self.floor + elapsed * MIN_RETRIES_PER_S)
+        max_floor = MIN_RETRIES_PER_S * BUDGET_LIFETIME_S
+        self.floor = min(max_floor, self.floor + elapsed * MIN_RETRIES_PER_S)
         # Earned tokens decay within BUDGET_LIFETIME_S, so they follow the current load.
-        self.earned *= max(0.0, 1.0 - elapsed / KEEP_S)
+        self.earned *= max(0.0, 1.0 - elapsed / BUDGET_LIFETIME_S)
 
     def record_first_attempt(self) -> None:
         """Record a first attempt."""
--- a/ebonybend/steering/returns.py
+++ b/ebonybend/steering/returns.py
@@ -9,12 +9,12 @@
 from attrs import define, field
 
 # A retry's deadline is below this fraction of the route's most common one.
-RETURNED_PART = 0.95
+RETRY_DEADLINE_FRACTION = 0.95
 # Fraction of a route's deadlines from which a value is common.
-COMMON_PART = 0.03
+COMMON_FRACTION = 0.03
 # Number of deadlines at which the counts are halved, so that old ones lose weight; a
 # busy route reaches it in some seconds.
-MOST_COUNTED = 400
+MAX_COUNTED = 400
 
 
 @define
@@ -32,7 +32,7 @@
         count = self.counts[deadline_s]
         if count >= self.counts[self.most_common]:
             self.most_common = deadline_s
-        if self.total >= MOST_COUNTED:
+        if self.total >= MAX_COUNTED:
             halved = {value: n // 2 for value, n in self.counts.items() if n > 1}
             self.counts = Counter(halved)
             self.total = sum(halved.values())
@@ -47,13 +47,13 @@
 
     def is_client_retry(self, route: str, deadline_s: float) -> bool:
         """Record a request's deadline; return whether it is a client retry."""
-        known = self.routes.get(route)
-        if known is None:
-            known = self.routes[route] = _Deadlines()
-        count = known.add(deadline_s)
-        if count > 1 and count >= known.total * COMMON_PART:
+        deadlines = self.routes.get(route)
+        if deadlines is None:
+            deadlines = self.routes[route] = _Deadlines()
+        count = deadlines.add(deadline_s)
+        if count > 1 and count >= deadlines.total * COMMON_FRACTION:
             return False
-        return deadline_s < known.most_common * RETURNED_PART
+        return deadline_s < deadlines.most_common * RETRY_DEADLINE_FRACTION
 
     def retain(self, routes: set[str]) -> None:
         """Drop routes that no longer exist."""
--- a/ebonybend/steering/routes.py
+++ b/ebonybend/steering/routes.py
@@ -30,7 +30,7 @@
 
 
 @define
-class _Turn:
+class _RoundRobin:
     """The round-robin state of a route: the credit of each part."""
 
     parts: tuple[RoutePart, ...]
@@ -45,25 +45,27 @@
     """
 
     def __init__(self) -> None:
-        self.turns: dict[str, _Turn] = {}
+        self.round_robins: dict[str, _RoundRobin] = {}
 
     def choose(self, route: Route) -> RoutePart:
         """Return the part that gets the next request."""
         if len(route.parts) == 1:
             return route.parts[0]
-        turn = self.turns.get(route.name)
-        if turn is None or turn.parts != route.parts:
-            turn = _Turn(route.parts, [0.0] * len(route.parts))
-            self.turns[route.name] = turn
+        state = self.round_robins.get(route.name)
+        if state is None or state.parts != route.parts:
+            state = _RoundRobin(route.parts, [0.0] * len(route.parts))
+            self.round_robins[route.name] = state
         total = sum(part.weight for part in route.parts)
         if total <= 0:
             return route.parts[0]
         for index, part in enumerate(route.parts):
-            turn.credits[index] += part.weight / total
-        best = max(range(len(turn.credits)), key=turn.credits.__getitem__)
-        turn.credits[best] -= 1.0
+            state.credits[index] += part.weight / total
+        best = max(range(len(state.credits)), key=state.credits.__getitem__)
+        state.credits[best] -= 1.0
         return route.parts[best]
 
     def forget_except(self, names: set[str]) -> None:
         """Drop the state of routes that no longer exist."""
-        self.turns = {name: turn for name, turn in self.turns.items() if name in names}
+        self.round_robins = {
+            name: state for name, state in self.round_robins.items() if name in names
+        }
--- a/ebonybend/steering/server_state.py
+++ b/ebonybend/steering/server_state.py
@@ -15,11 +15,11 @@
 # Consecutive failures after which a server is ejected for a time.
 FAILURES_TO_EJECT = 3
 FIRST_EJECTION_S = 1.0
-LONGEST_EJECTION_S = 8.0
+MAX_EJECTION_S = 8.0
 # First ejection time of a server that refuses connections.
-REFUSED_PAUSE_S = 0.5
+REFUSED_EJECTION_S = 0.5
 # Largest fraction of a service's servers in a region that may be ejected at once.
-MOST_EJECTED_SHARE = 0.5
+MAX_EJECTED_FRACTION = 0.5
 
 
 @define
@@ -29,7 +29,7 @@
     server: BackendServer
     in_flight: int = 0
     # Requests of other senders at the last load report, and the time of the report.
-    others: float = 0.0
+    others_in_flight: float = 0.0
     reported_at: float = float("-inf")
     # Mean service time without network delay; None before the first answer.
     service_s: float | None = None
@@ -41,7 +41,7 @@
     ejections: int = 0
     ejected_until: float = float("-inf")
     # Whether the last ejection was because the server couldn't be reached.
-    unreached: bool = False
+    ejected_unreachable: bool = False
     cold_until: float = float("-inf")
     pacer: ColdPacer = field(factory=ColdPacer)
 
@@ -49,7 +49,7 @@
         """Return the estimated number of requests on the server."""
         age = now - self.reported_at
         weight = max(0.0, 1.0 - age / LOAD_LIFETIME_S)
-        return self.in_flight + self.others * weight
+        return self.in_flight + self.others_in_flight * weight
 
     def is_cold(self, now: float) -> bool:
         """Return whether the server is warming up and gets only a bounded rate."""
@@ -64,18 +64,18 @@
 
     def is_unreachable(self, now: float) -> bool:
         """Return whether the server is ejected because it couldn't be reached."""
-        return self.unreached and self.is_ejected(now)
+        return self.ejected_unreachable and self.is_ejected(now)
 
     def record_load(self, running: int, waiting: int, now: float) -> None:
         """Record the load that an answer reports."""
-        self.others = max(running + waiting - self.in_flight, 0)
+        self.others_in_flight = max(running + waiting - self.in_flight, 0)
         self.reported_at = now
 
     def record_success(self, seconds: float) -> None:
         """Record a complete answer and the seconds that it took on the server."""
         self.failures = 0
         self.ejections = 0
-        self.unreached = False
+        self.ejected_unreachable = False
         if self.service_s is None:
             self.service_s = seconds
         else:
@@ -98,14 +98,14 @@
 
     def record_unreachable(self, now: float, refused: bool) -> None:
         """Eject the server because it couldn't be reached."""
-        self.unreached = True
-        self._eject(now, REFUSED_PAUSE_S if refused else FIRST_EJECTION_S)
+        self.ejected_unreachable = True
+        self._eject(now, REFUSED_EJECTION_S if refused else FIRST_EJECTION_S)
 
     def _eject(self, now: float, first_s: float) -> None:
         self.failures = 0
-        pause = min(first_s * 2**self.ejections, LONGEST_EJECTION_S)
+        duration_s = min(first_s * 2**self.ejections, MAX_EJECTION_S)
         self.ejections = min(self.ejections + 1, 10)
-        self.ejected_until = now + pause
+        self.ejected_until = now + duration_s
 
 
 class ServerTable:
@@ -140,10 +140,10 @@
     ) -> None:
         """Set the evacuated domains; servers that are back in use may be cold."""
         evacuated = frozenset(domains)
-        returned = self.evacuated - evacuated
+        reinstated = self.evacuated - evacuated
         self.evacuated = evacuated
         for state in self.states.values():
-            if state.server.failure_domain in returned:
+            if state.server.failure_domain in reinstated:
                 until = now + cold_s.get(state.server.service, 0.0)
                 state.cold_until = max(state.cold_until, until)
 
--- a/ebonybend/steering/service_times.py
+++ b/ebonybend/steering/service_times.py
@@ -14,12 +14,12 @@
 GAIN = 0.1
 # Objects remembered as warm on a server. Servers cache some dozens. A remembered object
 # that is no longer cached shows as a slower answer, which the averages include.
-MOST_OBJECTS = 128
+MAX_WARM_OBJECTS = 128
 # Bounds of a server's estimated slowness factor.
-LEAST_SLOWNESS = 0.25
-MOST_SLOWNESS = 20.0
+MIN_SLOWNESS = 0.25
+MAX_SLOWNESS = 20.0
 # Slowness from which a server counts as slow; servers of one service differ by less.
-SLOW = 2.0
+SLOW_FACTOR = 2.0
 
 
 @define
@@ -35,15 +35,15 @@
             return self.warm_s if self.warm_s is not None else self.cold_s
         return self.cold_s if self.cold_s is not None else self.warm_s
 
-    def learn(self, warm: bool, seconds: float) -> None:
+    def add_sample(self, warm: bool, seconds: float) -> None:
         """Update the mean with a service time that includes no queueing."""
         if warm:
-            self.warm_s = _moved(self.warm_s, seconds)
+            self.warm_s = _moving_average(self.warm_s, seconds)
         else:
-            self.cold_s = _moved(self.cold_s, seconds)
+            self.cold_s = _moving_average(self.cold_s, seconds)
 
 
-def _moved(mean: float | None, value: float) -> float:
+def _moving_average(mean: float | None, value: float) -> float:
     return value if mean is None else mean + GAIN * (value - mean)
 
 
@@ -53,11 +53,11 @@
 
     objects: OrderedDict[bytes, None] = field(factory=OrderedDict)
 
-    def handled(self, key: bytes) -> None:
+    def add(self, key: bytes) -> None:
         """Add an object; drop the least recently handled one if there are too many."""
         self.objects[key] = None
         self.objects.move_to_end(key)
-        if len(self.objects) > MOST_OBJECTS:
+        if len(self.objects) > MAX_WARM_OBJECTS:
             self.objects.popitem(last=False)
 
 
@@ -92,22 +92,22 @@
         return (times.warm_s if times else None) or 0.0
 
     def record_answer_time(
-        self, route: str, state: TrackedServer, key: bytes, seconds: float, waited: bool
+        self, route: str, state: TrackedServer, key: bytes, seconds: float, queued: bool
     ) -> None:
         """Record a complete answer; seconds excludes the network round trip."""
         name = state.server.name
         warm = self.is_warm(name, key)
         times = self.routes.setdefault(route, RouteTimes())
         expected = times.expected(warm)
-        if not waited:
+        if not queued:
             if expected:
                 ratio = seconds / expected
                 slowness = state.slowness + GAIN * (ratio - state.slowness)
-                state.slowness = min(max(slowness, LEAST_SLOWNESS), MOST_SLOWNESS)
+                state.slowness = min(max(slowness, MIN_SLOWNESS), MAX_SLOWNESS)
             # Answers of a slow server would distort the times of the route.
-            if expected is None or state.slowness < SLOW:
-                times.learn(warm, seconds)
-        self.warm.setdefault(name, WarmObjects()).handled(key)
+            if expected is None or state.slowness < SLOW_FACTOR:
+                times.add_sample(warm, seconds)
+        self.warm.setdefault(name, WarmObjects()).add(key)
 
     def retain(self, servers: set[str], routes: set[str]) -> None:
         """Drop servers and routes that no longer exist."""
--- a/ebonybend/steering/shared_rates.py
+++ b/ebonybend/steering/shared_rates.py
@@ -4,9 +4,9 @@
 
 # Fraction of a shared limit that is used. The rest covers requests in transit and
 # differences between the nodes' views of how many nodes there are.
-SAFE_SHARE = 0.8
+SAFETY_FACTOR = 0.8
 # Lowest rate of a node to a cold server, which needs requests to show that it works.
-LEAST_COLD_RATE = 0.5
+MIN_COLD_RATE = 0.5
 
 
 class RetryWindow:
@@ -21,22 +21,22 @@
         self.ratio = ratio
         self.slack = slack
         self.window_s = window_s
-        self.firsts: deque[float] = deque()
-        self.repeats: deque[float] = deque()
+        self.first_sends: deque[float] = deque()
+        self.retries: deque[float] = deque()
 
     def record_first_send(self, now: float) -> None:
         """Record a request that is sent for the first time."""
-        self.firsts.append(now)
-        self._expire(self.firsts, now)
+        self.first_sends.append(now)
+        self._expire(self.first_sends, now)
 
     def try_acquire(self, now: float, nodes: int) -> bool:
         """Record a retry if one is allowed now; return whether it is."""
-        self._expire(self.firsts, now)
-        self._expire(self.repeats, now)
-        allowed = self.ratio * len(self.firsts) + self.slack / max(nodes, 1)
-        if len(self.repeats) + 1 > allowed * SAFE_SHARE:
+        self._expire(self.first_sends, now)
+        self._expire(self.retries, now)
+        allowed = self.ratio * len(self.first_sends) + self.slack / max(nodes, 1)
+        if len(self.retries) + 1 > allowed * SAFETY_FACTOR:
             return False
-        self.repeats.append(now)
+        self.retries.append(now)
         return True
 
     def _expire(self, times: deque[float], now: float) -> None:
@@ -56,5 +56,5 @@
 
     def record_send(self, now: float, rate: float, nodes: int) -> None:
         """Record a request; rate is the server's limit for all nodes per second."""
-        share = max(rate * SAFE_SHARE / max(nodes, 1), LEAST_COLD_RATE)
+        share = max(rate * SAFETY_FACTOR / max(nodes, 1), MIN_COLD_RATE)
         self.next_at = max(self.next_at, now) + 1.0 / share
--- a/ebonybend/steering/shares.py
+++ b/ebonybend/steering/shares.py
@@ -12,9 +12,9 @@
 # Time for which a borrower uses a lease, from the time of its request.
 LEASE_S = 2.0
 # Covers the drift between the two clocks over a lease.
-MARGIN_S = 0.25
+CLOCK_DRIFT_MARGIN_S = 0.25
 # A lender doesn't use leased units until sends under the lease have left the window.
-LOAN_HOLD_S = LEASE_S + WINDOW_S + MARGIN_S
+LEASE_HOLD_S = LEASE_S + WINDOW_S + CLOCK_DRIFT_MARGIN_S
 # A lender reserves one unit in this many for its own next requests.
 RESERVE_DIVISOR = 10
 # All senders receive a changed cap within this time of one another.
@@ -70,11 +70,11 @@
 
 
 @frozen
-class Grant:
+class TimedLease:
     """A lease and its expiry by the holder's clock."""
 
     units: int
-    until: float
+    expires_at: float
 
 
 @frozen
@@ -101,14 +101,14 @@
         self.configured = split_units(cap, names).get(own, 0)
         self.effective = self.configured
         # Larger share of a changed configuration, and the time from which it applies.
-        self.raised: tuple[int, float] | None = None
+        self.pending_raise: tuple[int, float] | None = None
         # Leases that an earlier incarnation granted are used until they expire, and
         # sends under them stay in the window after that.
-        self.open_at = clock.monotonic() + max(hold_s, LOAN_HOLD_S)
+        self.usable_at = clock.monotonic() + max(hold_s, LEASE_HOLD_S)
         self.sends = WindowLimiter(clock)
         self.refusals = WindowLimiter(clock)
-        self.lent: dict[str, list[Grant]] = {}
-        self.borrowed: dict[str, list[Grant]] = {}
+        self.leased_out: dict[str, list[TimedLease]] = {}
+        self.leased_in: dict[str, list[TimedLease]] = {}
 
     def try_acquire(self) -> bool:
         """Record a send if the share allows it; return whether it does."""
@@ -121,50 +121,61 @@
     def units(self) -> int:
         """Return how many sends the share allows in any window now."""
         now = self.clock.monotonic()
-        if now < self.open_at:
+        if now < self.usable_at:
             return 0
-        return max(0, self._own_units(now) - self._lent(now)) + self._borrowed(now)
+        return max(
+            0, self._own_units(now) - self._leased_out_units(now)
+        ) + self._leased_in_units(now)
 
-    def spare(self) -> int:
+    def leasable_units(self) -> int:
         """Return how many own units could be leased out now."""
         now = self.clock.monotonic()
-        if now < self.open_at or self.refusals.used():
+        if now < self.usable_at or self.refusals.used():
             return 0
         own = self._own_units(now)
         reserve = own // RESERVE_DIVISOR
-        return max(0, own - reserve - self._lent(now) - self.sends.used())
+        return max(0, own - reserve - self._leased_out_units(now) - self.sends.used())
 
-    def shortage(self) -> int:
+    def recent_refusals(self) -> int:
         """Return how many requests were refused in the last window."""
         return self.refusals.used()
 
     def grant_lease(self, units: int, borrower: str) -> QuotaLease:
         """Grant or renew a lease of up to the given units in total."""
         now = self.clock.monotonic()
-        held = _most(self.lent.get(borrower, []), now)
+        current_units = _largest_units(self.leased_out.get(borrower, []), now)
         # A lender that refuses its own requests ends its leases.
-        renewed = 0 if self.refusals.used() else held
+        renewable = 0 if self.refusals.used() else current_units
         # A renewal can't exceed a share that was lowered in the meantime.
-        most = self._own_units(now) - (self._lent(now) - held)
-        granted = max(0, min(units, renewed + self.spare(), most))
+        max_units = self._own_units(now) - (self._leased_out_units(now) - current_units)
+        granted = max(0, min(units, renewable + self.leasable_units(), max_units))
         if granted:
-            grants = [g for g in self.lent.get(borrower, []) if g.until > now]
-            self.lent[borrower] = [*grants, Grant(granted, now + LOAN_HOLD_S)]
+            leases = [
+                x for x in self.leased_out.get(borrower, []) if x.expires_at > now
+            ]
+            self.leased_out[borrower] = [
+                *leases,
+                TimedLease(granted, now + LEASE_HOLD_S),
+            ]
         return QuotaLease(self.own, granted)
 
-    def use_lease(self, loan: QuotaLease, sent_at: float) -> None:
+    def use_lease(self, lease: QuotaLease, sent_at: float) -> None:
         """Use a lease that was requested at a time of the own clock."""
         if sent_at < self.changed_at:
             return
         now = self.clock.monotonic()
-        grants = [g for g in self.borrowed.get(loan.lender, []) if g.until > now]
-        self.borrowed[loan.lender] = [*grants, Grant(loan.units, sent_at + LEASE_S)]
+        leases = [x for x in self.leased_in.get(lease.lender, []) if x.expires_at > now]
+        self.leased_in[lease.lender] = [
+            *leases,
+            TimedLease(lease.units, sent_at + LEASE_S),
+        ]
 
     def loans(self) -> dict[str, int]:
         """Return the units leased from other senders now, by lender."""
         now = self.clock.monotonic()
         current = {
-            lender: _most(grants, now) for lender, grants in self.borrowed.items()
+            lender: _largest_units(leases, now)
+            for lender, leases in self.leased_in.items()
         }
         return {lender: units for lender, units in current.items() if units}
 
@@ -184,13 +195,13 @@
         if cap != self.cap:
             self.cap = cap
             self.changed_at = now
-            self.borrowed.clear()
+            self.leased_in.clear()
         self._apply_raise(now)
-        if self.raised is not None and self.raised[0] == share:
+        if self.pending_raise is not None and self.pending_raise[0] == share:
             return
-        self.raised = None
+        self.pending_raise = None
         if share > self.configured:
-            self.raised = (share, now + CHANGE_SPREAD_S)
+            self.pending_raise = (share, now + CHANGE_SPREAD_S)
             return
         self.configured = share
         self.effective = min(self.effective, share)
@@ -202,29 +213,29 @@
         self.effective = min(share, self.configured)
 
     def _own_units(self, now: float) -> int:
-        if self.raised is not None:
+        if self.pending_raise is not None:
             self._apply_raise(now)
         return self.effective
 
     def _apply_raise(self, now: float) -> None:
-        if self.raised is None or now < self.raised[1]:
+        if self.pending_raise is None or now < self.pending_raise[1]:
             return
         throttled = self.effective < self.configured
-        self.configured = self.raised[0]
-        self.raised = None
+        self.configured = self.pending_raise[0]
+        self.pending_raise = None
         if not throttled:
             self.effective = self.configured
 
-    def _lent(self, now: float) -> int:
-        return sum(_most(grants, now) for grants in self.lent.values())
+    def _leased_out_units(self, now: float) -> int:
+        return sum(_largest_units(leases, now) for leases in self.leased_out.values())
 
-    def _borrowed(self, now: float) -> int:
-        return sum(_most(grants, now) for grants in self.borrowed.values())
+    def _leased_in_units(self, now: float) -> int:
+        return sum(_largest_units(leases, now) for leases in self.leased_in.values())
 
 
-def _most(grants: list[Grant], now: float) -> int:
+def _largest_units(leases: list[TimedLease], now: float) -> int:
     """Return the units of the largest lease that has not expired."""
-    return max((grant.units for grant in grants if grant.until > now), default=0)
+    return max((x.units for x in leases if x.expires_at > now), default=0)
 
 
 class Ramp:
@@ -255,7 +266,7 @@
             self.base_latency_ms = latency_ms
         slower = latency_ms > LATENCY_RISE_LIMIT * self.base_latency_ms
         if slower or refusal_rate > REFUSAL_RATE_LIMIT:
-            self._cut()
+            self._halve()
 
     def _step(self) -> None:
         steps = int((self.clock.monotonic() - self.stepped_at) / RAMP_STEP_S)
@@ -268,7 +279,7 @@
         # step is compared with the latency before it.
         self.base_latency_ms = self.latency_ms
 
-    def _cut(self) -> None:
+    def _halve(self) -> None:
         now = self.clock.monotonic()
         # Answers to requests sent before the last cut still arrive during the pause.
         if now < self.paused_until:
--- a/ebonybend/steering/tests/test_cap_machine.py
+++ b/ebonybend/steering/tests/test_cap_machine.py
@@ -14,7 +14,7 @@
 NAMES = ("a", "b", "c")
 LINK_BYTES = 30_000
 STEP_S = 0.05
-BORROW_STEPS = 5
+LEASE_REQUEST_STEPS = 5
 
 
 class Sender:
@@ -82,18 +82,18 @@
             self.sent.append(self.now)
         while sender.link.charge(700):
             self.bytes.append(self.now)
-        if self.steps % BORROW_STEPS == 0 and sender.cap.shortage():
+        if self.steps % LEASE_REQUEST_STEPS == 0 and sender.cap.recent_refusals():
             for lender in self.senders.values():
                 if lender is not sender:
-                    self.ask(sender, lender)
+                    self.request_lease(sender, lender)
         self.measure()
 
-    def ask(self, sender, lender):
+    def request_lease(self, sender, lender):
         sent_at = sender.clock.monotonic()
 
         def answer():
-            loan = lender.cap.grant_lease(CAP, sender.name)
-            self.post(sender, lambda: sender.cap.use_lease(loan, sent_at))
+            lease = lender.cap.grant_lease(CAP, sender.name)
+            self.post(sender, lambda: sender.cap.use_lease(lease, sent_at))
 
         self.post(lender, answer)
 
@@ -135,7 +135,7 @@
     return len(times) - bisect_left(times, times[-1] - WINDOW_S + 1e-6)
 
 
-class LendingTest(TestCase):
+class LeaseTest(TestCase):
     def test_uneven_load_uses_the_cap(self):
         """Guards against a cap that stays mostly unused if one sender has the load."""
         machine = CapMachine()
--- a/ebonybend/steering/tests/test_lapsed.py
+++ b/ebonybend/steering/tests/test_lapsed.py
@@ -2,7 +2,7 @@
 from testtools import TestCase
 
 from ebonybend.steering.lapsed import (
-    RETURN_GRACE_S,
+    RECOVERY_GRACE_S,
     SETTLE_MARGIN_S,
     ExpiredServers,
 )
@@ -16,25 +16,25 @@
 SETTLE_S = 4.0
 
 
-class LapsedServersTest(TestWithScenarios, TestCase):
+class ExpiredServersTest(TestWithScenarios, TestCase):
     """Guards against refusing all requests after an outage emptied the server list."""
 
     scenarios = [
-        ("store was never away", {"returned_at": None, "kept": False}),
-        ("store has just returned", {"returned_at": NOW, "kept": True}),
-        ("grace is over", {"returned_at": NOW - RETURN_GRACE_S, "kept": False}),
+        ("store was always available", {"returned_at": None, "kept": False}),
+        ("store has just recovered", {"returned_at": NOW, "kept": True}),
+        ("grace is over", {"returned_at": NOW - RECOVERY_GRACE_S, "kept": False}),
         ("was leaving", {"returned_at": NOW, "known": LEAVING, "kept": False}),
         ("address is reused", {"returned_at": NOW, "listed": REUSED, "kept": False}),
         (
-            "another node reached the store all the while",
-            {"returned_at": NOW, "other_since": NOW - RETURN_GRACE_S, "kept": False},
+            "another node reached the store throughout",
+            {"returned_at": NOW, "other_since": NOW - RECOVERY_GRACE_S, "kept": False},
         ),
         (
-            "another node reached it a little sooner",
+            "another node reached it shortly before",
             {"returned_at": NOW, "other_since": NOW - 1.0, "kept": True},
         ),
         (
-            "another node reached it before, and the store was never away",
+            "another node reached it before, and the store was always available",
             {"returned_at": None, "other_since": NOW, "kept": False},
         ),
         (
@@ -52,14 +52,16 @@
     unavailable_at = None
 
     def test_merge(self):
-        lapsed = ExpiredServers()
+        expired = ExpiredServers()
         if self.returned_at is not None:
             unavailable_at = (
                 self.returned_at if self.unavailable_at is None else self.unavailable_at
             )
-            lapsed.record_store_recovery(self.returned_at, unavailable_at, SETTLE_S)
+            expired.record_store_recovery(self.returned_at, unavailable_at, SETTLE_S)
         if self.other_since is not None:
-            lapsed.record_store_available_since(self.other_since)
-        merged = lapsed.merge({"old": self.known}, {self.listed.name: self.listed}, NOW)
+            expired.record_store_available_since(self.other_since)
+        merged = expired.merge(
+            {"old": self.known}, {self.listed.name: self.listed}, NOW
+        )
         self.assertEqual(self.kept, "old" in merged)
         self.assertIn(self.listed.name, merged)
--- a/ebonybend/steering/tests/test_placement.py
+++ b/ebonybend/steering/tests/test_placement.py
@@ -3,12 +3,12 @@
 from testtools import TestCase
 
 from ebonybend.steering.placement import (
-    FULL_AT,
-    URGENT_FULL_AT,
+    LOAD_LIMIT,
+    URGENT_LOAD_LIMIT,
     Placement,
     PlacementQuery,
     capacity_by_region,
-    rank,
+    rendezvous_weight,
 )
 from ebonybend.steering.server_state import ServerTable
 from ebonybend.steering.service_times import ServiceTimes
@@ -46,13 +46,15 @@
     return Placement(table, ServiceTimes())
 
 
-def places(found, names):
+def preference_order(found, names):
     """Return the states of servers in the object's order of preference."""
-    ordered = sorted(names, key=lambda name: rank(b"17", name), reverse=True)
+    ordered = sorted(
+        names, key=lambda name: rendezvous_weight(b"17", name), reverse=True
+    )
     return [found.table.states[name] for name in ordered]
 
 
-class PlacesTest(TestCase):
+class PreferredServersTest(TestCase):
     """Guards against objects that run on all servers and so are warm on none.
 
     Load pattern: a burst of requests for some dozens of objects, cold on all servers.
@@ -63,27 +65,27 @@
         self.placement = placement(*(server(f"s{i}") for i in range(4)))
         for state in self.placement.table.states.values():
             state.service_s = 0.05
-        self.order = places(self.placement, self.placement.table.states)
+        self.order = preference_order(self.placement, self.placement.table.states)
 
     def choose(self, query=QUERY):
         state = self.placement.choose(query, 0.0)
         return state and state.server.name
 
-    def test_first_place_then_second(self):
+    def test_first_preferred_server_then_second(self):
         self.assertEqual(self.order[0].server.name, self.choose())
-        self.order[0].in_flight = int(SLOTS * URGENT_FULL_AT)
+        self.order[0].in_flight = int(SLOTS * URGENT_LOAD_LIMIT)
         self.assertEqual(self.order[1].server.name, self.choose())
 
     def test_refused_rather_than_sent_to_a_third_busy_server(self):
         for state in self.order[:2]:
-            state.in_flight = int(SLOTS * URGENT_FULL_AT)
+            state.in_flight = int(SLOTS * URGENT_LOAD_LIMIT)
         for state in self.order[2:]:
             state.in_flight = SLOTS - 1
         self.assertIsNone(self.choose())
 
-    def test_an_idle_server_takes_what_the_places_have_no_room_for(self):
+    def test_idle_server_runs_what_exceeds_the_preferred_ones(self):
         for state in self.order[:2]:
-            state.in_flight = int(SLOTS * URGENT_FULL_AT)
+            state.in_flight = int(SLOTS * URGENT_LOAD_LIMIT)
         self.order[2].in_flight = 3
         self.assertEqual(self.order[3].server.name, self.choose())
 
@@ -92,7 +94,7 @@
         self.assertEqual(self.choose(), other.choose(QUERY, 0.0).server.name)
 
 
-class RoomTest(TestWithScenarios, TestCase):
+class LoadLimitTest(TestWithScenarios, TestCase):
     """Guards against late answers to requests that queued behind others.
 
     Load pattern: short urgent requests and long less urgent ones on one service.
@@ -102,19 +104,19 @@
         ("free slot", {"load": SLOTS - 1, "taken": True}),
         ("short wait", {"load": SLOTS + 2, "taken": True}),
         ("late", {"load": SLOTS + 8, "mean_s": 0.3, "taken": False}),
-        ("less urgent", {"load": int(SLOTS * FULL_AT), "urgent": False}),
-        ("urgent", {"load": int(SLOTS * FULL_AT), "urgent": True, "taken": True}),
+        ("less urgent", {"load": int(SLOTS * LOAD_LIMIT), "urgent": False}),
+        ("urgent", {"load": int(SLOTS * LOAD_LIMIT), "urgent": True, "taken": True}),
         (
-            "came back with time left",
+            "client retry with time remaining",
             {
-                "load": int(SLOTS * FULL_AT),
+                "load": int(SLOTS * LOAD_LIMIT),
                 "urgent": False,
                 "retry_remaining_s": 0.5,
                 "taken": True,
             },
         ),
         (
-            "came back to a long queue",
+            "client retry at a long queue",
             {
                 "load": 2 * SLOTS,
                 "urgent": False,
@@ -127,7 +129,7 @@
             {"load": 2 * SLOTS, "urgent": False, "objective_s": 0.8},
         ),
         ("slow server", {"load": 0, "slowness": 10.0, "taken": False}),
-        ("far and slow", {"load": 0, "slowness": 2.5, "way_s": 0.1, "taken": False}),
+        ("remote and slow", {"load": 0, "slowness": 2.5, "way_s": 0.1, "taken": False}),
     ]
     urgent = True
     taken = False
@@ -137,7 +139,7 @@
     retry_remaining_s = None
     objective_s = ROUTE.objective_s
 
-    def test_room(self):
+    def test_accepted_within_the_load_limit(self):
         found = placement(server("s0"))
         state = found.table.states["s0"]
         found.times.record_answer_time("ride-history", state, b"17", 0.07, False)
@@ -154,7 +156,7 @@
         self.assertEqual(self.taken, found.choose(query, 0.0) is not None)
 
 
-class FirstSecondsTest(TestCase):
+class UnknownTimesTest(TestCase):
     """Guards against queues on servers whose service times are unknown.
 
     Load pattern: the first second of traffic, when every object is cold.
@@ -168,32 +170,35 @@
         self.assertGreaterEqual(pause, ROUTE.objective_s / SLOTS)
 
 
-class UrgentTest(TestWithScenarios, TestCase):
+class UrgentRouteTest(TestWithScenarios, TestCase):
     """Guards against long requests that delay short urgent ones past their objective.
 
     Load pattern: requests of 144 ms with an objective of 150 ms, and ones of 880 ms.
     """
 
     scenarios = [
-        ("queue is short for the urgent", {"mean_s": 0.02, "most": SLOTS * FULL_AT}),
-        ("queue of some requests", {"mean_s": 0.35, "most": SLOTS + 2}),
-        ("no queue", {"mean_s": 5.0, "most": SLOTS + 0.14}),
-        ("slow server", {"mean_s": 0.35, "slowness": 3.0, "most": SLOTS - 1}),
+        (
+            "short queue for urgent requests",
+            {"mean_s": 0.02, "limit": SLOTS * LOAD_LIMIT},
+        ),
+        ("queue of some requests", {"mean_s": 0.35, "limit": SLOTS + 2}),
+        ("no queue", {"mean_s": 5.0, "limit": SLOTS + 0.14}),
+        ("slow server", {"mean_s": 0.35, "slowness": 3.0, "limit": SLOTS - 1}),
     ]
     slowness = 1.0
 
-    def test_load_that_leaves_the_urgent_on_time(self):
+    def test_load_limit_keeps_urgent_requests_on_time(self):
         found = placement(server("s0"))
         state = found.table.states["s0"]
         found.times.record_answer_time("defect-report", state, b"17", 0.1, False)
         found.times.record_answer_time("defect-report", state, b"17", 0.1, False)
         state.service_s = self.mean_s
         state.slowness = self.slowness
-        most = found._most(state, evolve(QUERY, urgent_route=URGENT))
-        self.assertAlmostEqual(self.most, most, delta=0.01)
+        limit = found._load_limit(state, evolve(QUERY, urgent_route=URGENT))
+        self.assertAlmostEqual(self.limit, limit, delta=0.01)
 
 
-class LimitsTest(TestWithScenarios, TestCase):
+class UnusableServersTest(TestWithScenarios, TestCase):
     """Guards against requests to servers that must not get any."""
 
     scenarios = [
@@ -201,8 +206,8 @@
         ("another service", {"changes": {"service": "signoff"}}),
         ("evacuated", {"evacuated": ["kingston-a"]}),
         ("not in a home region", {"homes": ("montego",)}),
-        ("cold and sent to just now", {"cold": True}),
-        ("tried before", {"excluded": ["s0"]}),
+        ("cold and just sent a request", {"cold": True}),
+        ("already tried", {"excluded": ["s0"]}),
     ]
     changes = {}
     evacuated = ()
@@ -229,25 +234,25 @@
         found = placement(server("far", region="montego"))
         self.assertEqual("far", found.choose(QUERY, 0.0).server.name)
 
-    def test_region_out_of_reach_gets_nothing(self):
+    def test_unreachable_region_gets_no_requests(self):
         """Load pattern: a region is cut off, and its servers fail one by one."""
-        near = [f"s{i}" for i in range(4)]
-        found = placement(*map(server, near), server("far", region="montego"))
-        for name in near:
+        local = [f"s{i}" for i in range(4)]
+        found = placement(*map(server, local), server("far", region="montego"))
+        for name in local:
             found.table.states[name].record_unreachable(0.0, False)
         self.assertEqual("far", found.choose(QUERY, 0.1).server.name)
         self.assertEqual(
             {"montego": SLOTS}, capacity_by_region(found.table, "history", 0.1)
         )
 
-    def test_nothing_is_in_reach(self):
+    def test_all_servers_unreachable(self):
         """Load pattern: the node itself is cut off, while the servers are healthy."""
         found = placement(server("s0"), server("s1"))
         for state in found.table.states.values():
             state.record_unreachable(0.0, False)
         self.assertIsNotNone(found.choose(QUERY, 0.1))
 
-    def test_an_idle_far_server_helps_a_full_region(self):
+    def test_idle_remote_server_helps_a_full_region(self):
         found = placement(server("near"), server("far", region="montego"))
         found.table.states["near"].in_flight = SLOTS * 3
         self.assertEqual("far", found.choose(QUERY, 0.0).server.name)
--- a/ebonybend/steering/tests/test_regions.py
+++ b/ebonybend/steering/tests/test_regions.py
@@ -22,11 +22,11 @@
 
     scenarios = [
         (
-            "room at home",
+            "capacity in the own region",
             {"demand": {"k": 6}, "capacity": {"k": 10, "m": 20}, "home": 1.0},
         ),
         (
-            "no demand known",
+            "unknown demand",
             {"demand": {}, "capacity": {"k": 10, "m": 20}, "home": 1.0},
         ),
         (
@@ -42,7 +42,7 @@
             {"demand": {"k": 30, "m": 0}, "capacity": {"k": 10, "m": 10}, "home": 0.5},
         ),
         (
-            "no server at home",
+            "no server in the own region",
             {"demand": {"k": 5}, "capacity": {"m": 10, "n": 30}, "home": 0.0},
         ),
     ]
@@ -61,16 +61,16 @@
         target = {"k": 0.0, "m": 1.0}
         capacity = {"k": 10.0, "m": 10.0}
         before = {}
-        most = 0.0
+        largest = 0.0
         per_window = int(SHIFT_WINDOW_S / period_s)
         for step in range(steps):
             shares.move_toward(target, capacity, 0.15, step * period_s)
-            places = {key: shares.region_of(key) for key in KEYS}
+            assigned = {key: shares.region_of(key) for key in KEYS}
             if step % per_window == 0:
-                changed = sum(before.get(k, p) != p for k, p in places.items())
-                most = max(most, changed / len(KEYS))
-                before = places
-        return most
+                changed = sum(before.get(k, p) != p for k, p in assigned.items())
+                largest = max(largest, changed / len(KEYS))
+                before = assigned
+        return largest
 
     def test_change_in_a_window_is_bounded(self):
         self.assertLess(self.moved(RegionShares("k"), 60, 0.5), 0.15)
@@ -89,7 +89,7 @@
         shares.move_toward({"k": 1.0}, {"k": 9.0, "m": 9.0}, 0.15, 0.7, in_use=False)
         self.assertEqual({"k"}, {shares.region_of(key) for key in KEYS})
 
-    def test_moves_at_once_when_nothing_in_use_has_room(self):
+    def test_moves_at_once_when_no_region_in_use_has_capacity(self):
         shares = RegionShares("k", {"k": 1.0}, 0.0)
         shares.move_toward({"m": 1.0}, {"m": 10.0}, 0.15, 0.1)
         self.assertEqual({"m": 1.0}, shares.shares)
@@ -116,21 +116,21 @@
         self.assertEqual({"m": 1.0}, target_shares("m", demand, capacity))
 
 
-class LostSlotsTest(TestWithScenarios, TestCase):
+class SlotLossDetectorTest(TestWithScenarios, TestCase):
     """Guards against a region that keeps the load of servers that it lost."""
 
     scenarios = [
         ("first count", {"counts": [10], "lost": [0.0]}),
         ("half is lost", {"counts": [10, 5], "lost": [0.0, 0.5]}),
-        ("told once", {"counts": [10, 5, 5], "lost": [0.0, 0.5, 0.0]}),
-        ("servers return", {"counts": [5, 10], "lost": [0.0, 0.0]}),
+        ("reported once", {"counts": [10, 5, 5], "lost": [0.0, 0.5, 0.0]}),
+        ("servers recover", {"counts": [5, 10], "lost": [0.0, 0.0]}),
         ("all are lost", {"counts": [10, 0], "lost": [0.0, 1.0]}),
         (
-            "one comes and goes",
+            "one server flaps",
             {"counts": [10, 5, 10, 5, 10, 5], "lost": [0.0, 0.5, 0.0, 0.0, 0.0, 0.0]},
         ),
         (
-            "lost again after it was back",
+            "lost again after recovery",
             {"counts": [10, 5, 10, 10, 10, 10, 10, 5], "lost": [0, 0.5, *[0] * 5, 0.5]},
         ),
     ]
--- a/ebonybend/steering/tests/test_retries.py
+++ b/ebonybend/steering/tests/test_retries.py
@@ -17,17 +17,17 @@
     def test_retries_over_time(self):
         clock = ManualClock()
         budget = RetryBudget(clock)
-        taken = 0
+        granted = 0
         for _ in range(self.seconds * 100):
             clock.advance(0.01)
             for _ in range(self.rate // 100):
                 budget.record_first_attempt()
-            taken += budget.try_acquire()
-            taken += budget.try_acquire()
-        self.assertGreaterEqual(taken, self.least)
-        self.assertLessEqual(taken, self.most)
+            granted += budget.try_acquire()
+            granted += budget.try_acquire()
+        self.assertGreaterEqual(granted, self.least)
+        self.assertLessEqual(granted, self.most)
 
-    def test_idle_time_does_not_collect(self):
+    def test_idle_time_adds_no_budget(self):
         clock = ManualClock()
         budget = RetryBudget(clock)
         clock.advance(3600.0)
--- a/ebonybend/steering/tests/test_server_state.py
+++ b/ebonybend/steering/tests/test_server_state.py
@@ -24,7 +24,10 @@
         ("failures", {"steps": ("failed",) * FAILURES_TO_EJECT, "ejected": True}),
         ("silent", {"steps": ("silent",), "ejected": True}),
         ("pause is over", {"steps": ("silent", "wait"), "ejected": False}),
-        ("one tries it", {"steps": ("silent", "wait", "send"), "ejected": True}),
+        (
+            "trial request in flight",
+            {"steps": ("silent", "wait", "send"), "ejected": True},
+        ),
         (
             "trial fails",
             {"steps": ("silent", "wait", "send", "failed", "end"), "ejected": True},
--- a/ebonybend/steering/tests/test_shared_rates.py
+++ b/ebonybend/steering/tests/test_shared_rates.py
@@ -18,10 +18,10 @@
         ("heavy load", {"firsts_per_s": 60}),
     ]
 
-    def test_every_window_is_within_the_bound(self):
+    def test_every_window_is_within_the_limit(self):
         ratio, slack, window_s = 0.2, 56, 10.0
         windows = [RetryWindow(ratio, slack, window_s) for _ in range(NODES)]
-        taken = []
+        retried_at = []
         for step in range(600):
             now = step * 0.05
             for window in windows:
@@ -31,13 +31,14 @@
                 ):
                     window.record_first_send(now)
                 while window.try_acquire(now, NODES):
-                    taken.append(now)
-        most = max(
-            sum(start <= at < start + window_s for at in taken) for start in taken
+                    retried_at.append(now)
+        largest = max(
+            sum(start <= at < start + window_s for at in retried_at)
+            for start in retried_at
         )
-        firsts = self.firsts_per_s * window_s * NODES
-        self.assertLessEqual(most, ratio * firsts + slack)
-        self.assertGreater(most, 0)
+        first_sends = self.firsts_per_s * window_s * NODES
+        self.assertLessEqual(largest, ratio * first_sends + slack)
+        self.assertGreater(largest, 0)
 
 
 class ColdPacerTest(TestCase):
@@ -53,8 +54,8 @@
                 if pacer.ready(now):
                     pacer.record_send(now, rate, NODES)
                     sent.append(now)
-        most = max(sum(start <= at < start + 1.0 for at in sent) for start in sent)
-        self.assertLessEqual(most, rate * factor + slack)
+        largest = max(sum(start <= at < start + 1.0 for at in sent) for start in sent)
+        self.assertLessEqual(largest, rate * factor + slack)
 
 
 def route(name, prefix, **parts):
@@ -92,7 +93,7 @@
         self.assertEqual(90, chosen.count("first"))
 
 
-class ReturnDetectorTest(TestWithScenarios, TestCase):
+class ClientRetryDetectorTest(TestWithScenarios, TestCase):
     """Guards against refusing clients that already waited rather than new ones.
 
     Load pattern: most clients wait for 1.2 s, a few for longer, and some retry.
@@ -102,10 +103,10 @@
         ("usual", {"deadline_s": 1.2, "returned": False}),
         ("patient", {"deadline_s": 3.0, "returned": False}),
         ("another common time", {"deadline_s": 0.6, "returned": False}),
-        ("came back", {"deadline_s": 0.937, "returned": True}),
+        ("client retry", {"deadline_s": 0.937, "returned": True}),
     ]
 
-    def test_returned(self):
+    def test_is_client_retry(self):
         detector = ClientRetryDetector()
         for number in range(1000):
             detector.is_client_retry("r", 1.2)
--- a/ebonybend/steering/tests/test_shares.py
+++ b/ebonybend/steering/tests/test_shares.py
@@ -2,7 +2,7 @@
 
 from ebonybend.clock import ManualClock
 from ebonybend.steering import CapShare, LinkBudget, Ramp, WindowLimiter, split_units
-from ebonybend.steering.shares import LOAN_HOLD_S
+from ebonybend.steering.shares import LEASE_HOLD_S
 
 NAMES = [f"entry-{number}" for number in range(7)]
 
@@ -38,45 +38,45 @@
         self.lender, self.borrower = (
             CapShare(140, name, NAMES, self.clock, 2.0) for name in NAMES[:2]
         )
-        self.clock.advance(LOAN_HOLD_S)
+        self.clock.advance(LEASE_HOLD_S)
 
-    def test_loan_moves_units(self):
+    def test_lease_moves_units(self):
         """Guards against units that both the lender and the borrower use."""
-        loan = self.lender.grant_lease(50, "entry-1")
-        self.assertEqual(18, loan.units)
-        self.borrower.use_lease(loan, self.clock.monotonic())
+        lease = self.lender.grant_lease(50, "entry-1")
+        self.assertEqual(18, lease.units)
+        self.borrower.use_lease(lease, self.clock.monotonic())
         self.assertEqual((2, 38), (self.lender.units(), self.borrower.units()))
         self.clock.advance(2.0)
         self.assertEqual((2, 20), (self.lender.units(), self.borrower.units()))
         self.clock.advance(1.25)
         self.assertEqual(20, self.lender.units())
 
-    def test_loan_ends_with_a_lowered_cap(self):
-        """Guards against 38 + 2 units in use under a cap that leaves 10 to each."""
+    def test_lease_ends_with_a_lowered_cap(self):
+        """Guards against 38 + 2 units in use after a cap of 10 for each sender."""
         asked_at = self.clock.monotonic()
-        loan = self.lender.grant_lease(50, "entry-1")
-        self.borrower.use_lease(loan, asked_at)
+        lease = self.lender.grant_lease(50, "entry-1")
+        self.borrower.use_lease(lease, asked_at)
         self.clock.advance(0.1)
         for share in (self.lender, self.borrower):
             share.configure(70, NAMES)
-        self.borrower.use_lease(loan, asked_at)
+        self.borrower.use_lease(lease, asked_at)
         self.assertEqual((0, 10), (self.lender.units(), self.borrower.units()))
         self.assertEqual(10, self.lender.grant_lease(50, "entry-1").units)
 
-    def test_loan_is_renewed_until_the_lender_needs_it(self):
+    def test_lease_is_renewed_until_the_lender_needs_it(self):
         """Guards against a gap between leases, and a lender without units."""
         for _ in range(20):
-            loan = self.lender.grant_lease(18, "entry-1")
-            self.assertEqual(18, loan.units)
+            lease = self.lender.grant_lease(18, "entry-1")
+            self.assertEqual(18, lease.units)
             self.clock.advance(1.0)
         while self.lender.try_acquire():
             pass
         self.assertEqual(0, self.lender.grant_lease(18, "entry-1").units)
 
-    def test_new_incarnation_waits_for_its_predecessors_loans(self):
+    def test_new_incarnation_waits_for_its_predecessors_leases(self):
         """Guards against using units that an earlier incarnation has leased out."""
-        loan = self.lender.grant_lease(18, "entry-1")
-        self.borrower.use_lease(loan, self.clock.monotonic())
+        lease = self.lender.grant_lease(18, "entry-1")
+        self.borrower.use_lease(lease, self.clock.monotonic())
         successor = CapShare(140, "entry-0", NAMES, self.clock, 2.0)
         self.clock.advance(1.99)
         self.assertEqual(38, sum(self.borrower.try_acquire() for _ in range(50)))
@@ -88,12 +88,12 @@
     def test_late_and_repeated_answers_add_nothing(self):
         """Guards against a lease that is used twice or after its end."""
         sent_at = self.clock.monotonic()
-        loan = self.lender.grant_lease(10, "entry-1")
-        self.borrower.use_lease(loan, sent_at)
-        self.borrower.use_lease(loan, sent_at)
+        lease = self.lender.grant_lease(10, "entry-1")
+        self.borrower.use_lease(lease, sent_at)
+        self.borrower.use_lease(lease, sent_at)
         self.assertEqual(30, self.borrower.units())
         self.clock.advance(2.0)
-        self.borrower.use_lease(loan, sent_at)
+        self.borrower.use_lease(lease, sent_at)
         self.assertEqual(20, self.borrower.units())
 
     def test_changed_cap_is_lowered_first(self):
--- a/ebonybend/store/audit_log.py
+++ b/ebonybend/store/audit_log.py
@@ -32,7 +32,7 @@
 
 
 @frozen
-class _Found:
+class _VersionedChunk:
     """A chunk with its number and its version, which is 0 if it doesn't exist."""
 
     number: int
@@ -55,7 +55,7 @@
 
     async def append(self, entries: Iterable[AuditEntry]) -> Result[None, StoreFailure]:
         """Append entries once each, even if the answer to a write is lost."""
-        left = list(entries)
+        remaining = list(entries)
         located = await self._last_number()
         if not isinstance(located, Success):
             return Failure(located.failure())
@@ -68,11 +68,11 @@
             if not isinstance(found, Success):
                 return Failure(found.failure())
             chunk = found.unwrap()
-            left = [entry for entry in left if entry not in chunk.entries]
-            if not left:
+            remaining = [entry for entry in remaining if entry not in chunk.entries]
+            if not remaining:
                 self.number = max(self.number or 0, number)
                 return Success(None)
-            fitting = _fitting(chunk.entries, left)
+            fitting = _fitting(chunk.entries, remaining)
             if not fitting:
                 number += 1
                 continue
@@ -102,7 +102,7 @@
         return Success(tuple(found[:limit]))
 
     async def _write(
-        self, chunk: _Found, entries: list[AuditEntry]
+        self, chunk: _VersionedChunk, entries: list[AuditEntry]
     ) -> Result[int, StoreFailure]:
         value = to_json(AuditChunk((*chunk.entries, *entries)))
         name = chunk_name(chunk.number)
@@ -117,7 +117,7 @@
             self.number = located.unwrap()
         return located
 
-    async def _newest_chunk(self) -> Result[_Found, StoreFailure]:
+    async def _newest_chunk(self) -> Result[_VersionedChunk, StoreFailure]:
         """Return the last chunk, which may not exist yet."""
         located = await self._last_number()
         if not isinstance(located, Success):
@@ -144,22 +144,22 @@
             step = step * 2 if growing else step // 2
         return Success(low)
 
-    async def _read(self, number: int) -> Result[_Found, StoreFailure]:
+    async def _read(self, number: int) -> Result[_VersionedChunk, StoreFailure]:
         found = await self.store.get(KIND, chunk_name(number))
         if isinstance(found, Success):
             return _decode(number, found.unwrap())
         if found.failure().kind is StoreFailureKind.NOT_FOUND:
-            return Success(_Found(number, 0, ()))
+            return Success(_VersionedChunk(number, 0, ()))
         return Failure(found.failure())
 
 
-def _decode(number: int, stored: StoredObject) -> Result[_Found, StoreFailure]:
+def _decode(number: int, stored: StoredObject) -> Result[_VersionedChunk, StoreFailure]:
     try:
         chunk = from_json(bytes(stored.value), AuditChunk)
     except SteeringError as error:
         message = f"{KIND}/{stored.name} is malformed: {error.message}"
         return Failure(StoreFailure(StoreFailureKind.REJECTED, message))
-    return Success(_Found(number, stored.version, chunk.entries))
+    return Success(_VersionedChunk(number, stored.version, chunk.entries))
 
 
 def _is_full(entries: tuple[AuditEntry, ...]) -> bool:
@@ -174,12 +174,12 @@
     present: tuple[AuditEntry, ...], entries: list[AuditEntry]
 ) -> list[AuditEntry]:
     """Return the leading entries that still fit into a chunk."""
-    room = MAX_CHUNK_ENTRIES - len(present)
-    left = MAX_CHUNK_BYTES - _size(present)
+    free_entries = MAX_CHUNK_ENTRIES - len(present)
+    free_bytes = MAX_CHUNK_BYTES - _size(present)
     fitting: list[AuditEntry] = []
-    for entry in entries[: max(room, 0)]:
-        left -= _size((entry,))
-        if left < 0 and (present or fitting):
+    for entry in entries[: max(free_entries, 0)]:
+        free_bytes -= _size((entry,))
+        if free_bytes < 0 and (present or fitting):
             break
         fitting.append(entry)
     return fitting
--- a/ebonybend/store/rules_store.py
+++ b/ebonybend/store/rules_store.py
@@ -116,7 +116,7 @@
 
 
 @frozen
-class _Read:
+class _VersionedRules:
     """The rules object, and the version on which an update is conditional."""
 
     version: int
@@ -132,7 +132,7 @@
         audit: AuditLog,
         timers: Timers,
         random: Random,
-        in_force: Callable[[], RulesObject],
+        rules_in_force: Callable[[], RulesObject],
         wall: Callable[[], float] = time,
     ):
         self.store = store
@@ -140,17 +140,17 @@
         self.timers = timers
         self.random = random
         # The newest rules known to this process; the platform may have lost them.
-        self.in_force = in_force
+        self.rules_in_force = rules_in_force
         self.wall = wall
         self.tasks = Tasks(timers)
 
-    async def read(self) -> Result[_Read, StoreFailure]:
+    async def read(self) -> Result[_VersionedRules, StoreFailure]:
         """Return the rules object, empty if there is none."""
         found = await self.store.get(KIND, NAME)
         if isinstance(found, Success):
             return self._decode(found.unwrap())
         if found.failure().kind is StoreFailureKind.NOT_FOUND:
-            return Success(self._newest(_Read(0, RulesObject())))
+            return Success(self._newest_rules(_VersionedRules(0, RulesObject())))
         return Failure(found.failure())
 
     async def apply(self, change: ProposedChange) -> Result[RulesObject, ApplyFailure]:
@@ -163,9 +163,9 @@
             read = await self.read()
             if isinstance(read, Success):
                 found = read.unwrap()
-                settled = _settled(found.rules, change)
-                if settled is not None:
-                    return settled
+                outcome = _known_outcome(found.rules, change)
+                if outcome is not None:
+                    return outcome
                 written = await self._write(found, change)
                 if isinstance(written, Success):
                     return Success(written.unwrap())
@@ -175,16 +175,16 @@
             if failure.kind is StoreFailureKind.REJECTED:
                 return Failure(ApplyFailure(ApplyFailureKind.REJECTED, failure.message))
             if isinstance(read, Success):
-                lost = failure.kind is StoreFailureKind.ANSWER_LOST
-                may_be_written = may_be_written or lost
+                answer_lost = failure.kind is StoreFailureKind.ANSWER_LOST
+                may_be_written = may_be_written or answer_lost
             if failure.kind is not StoreFailureKind.CONFLICT:
                 delay = backoff.next()
                 if self.timers.seconds() + delay > deadline:
-                    return Failure(_given_up(may_be_written, failure))
+                    return Failure(_deadline_failure(may_be_written, failure))
                 await self.tasks.sleep(delay)
 
     async def _write(
-        self, found: _Read, change: ProposedChange
+        self, found: _VersionedRules, change: ProposedChange
     ) -> Result[RulesObject, StoreFailure]:
         archived = await self._archive(found.rules)
         if not isinstance(archived, Success):
@@ -230,28 +230,28 @@
             rules.archived_revision,
         )
 
-    def _decode(self, stored: StoredObject) -> Result[_Read, StoreFailure]:
+    def _decode(self, stored: StoredObject) -> Result[_VersionedRules, StoreFailure]:
         try:
             rules = from_json(bytes(stored.value), RulesObject)
         except SteeringError as error:
             message = f"{KIND}/{NAME} is malformed: {error.message}"
             return Failure(StoreFailure(StoreFailureKind.REJECTED, message))
-        return Success(self._newest(_Read(stored.version, rules)))
+        return Success(self._newest_rules(_VersionedRules(stored.version, rules)))
 
-    def _newest(self, read: _Read) -> _Read:
+    def _newest_rules(self, read: _VersionedRules) -> _VersionedRules:
         """Use the rules in force if those of the platform are older.
 
         Revisions must not go down when the platform is restored from a backup.
         """
-        known = self.in_force()
+        known = self.rules_in_force()
         if known.revision <= read.rules.revision:
             return read
         recent, archived = read.rules.recent, read.rules.archived_revision
         rules = evolve(known, recent=recent, archived_revision=archived)
-        return _Read(read.version, rules)
+        return _VersionedRules(read.version, rules)
 
 
-def _settled(
+def _known_outcome(
     rules: RulesObject, change: ProposedChange
 ) -> Result[RulesObject, ApplyFailure] | None:
     """Return the outcome of a change if the rules alone determine it, or None."""
@@ -266,7 +266,7 @@
     return Failure(ApplyFailure(ApplyFailureKind.CONFLICT, message, rules))
 
 
-def _given_up(may_be_written: bool, failure: StoreFailure) -> ApplyFailure:
+def _deadline_failure(may_be_written: bool, failure: StoreFailure) -> ApplyFailure:
     if may_be_written:
         return ApplyFailure(ApplyFailureKind.UNRESOLVED, failure.message)
     return ApplyFailure(ApplyFailureKind.UNAVAILABLE, failure.message)
@@ -275,6 +275,6 @@
 def bounded_difference(old_text: str, new_text: str) -> tuple[str, ...]:
     """Return the difference of two texts for display, cut to a bounded size."""
     lines = diff_rules(old_text, new_text)
-    kept = tuple(line[:MAX_DIFFERENCE_LINE] for line in lines[:MAX_DIFFERENCE_LINES])
-    left = len(lines) - len(kept)
-    return (*kept, f"and {left} more") if left else kept
+    shown = tuple(line[:MAX_DIFFERENCE_LINE] for line in lines[:MAX_DIFFERENCE_LINES])
+    omitted = len(lines) - len(shown)
+    return (*shown, f"and {omitted} more") if omitted else shown
--- a/ebonybend/store/tests/memory_store.py
+++ b/ebonybend/store/tests/memory_store.py
@@ -24,7 +24,7 @@
     clock: Clock
     version: int = 0
     objects: dict[tuple[str, str], StoredObject] = field(factory=dict)
-    waiting: list[Deferred] = field(factory=list)
+    watchers: list[Deferred] = field(factory=list)
     writes: list[tuple[str, str]] = field(factory=list)
 
     def write(self, kind, name, value, deleted=False):
@@ -33,8 +33,8 @@
         stored = StoredObject(name, self.version, Raw(value), deleted)
         self.objects[kind, name] = stored
         self.writes.append((kind, name))
-        waiting, self.waiting = self.waiting, []
-        for watcher in waiting:
+        watchers, self.watchers = self.watchers, []
+        for watcher in watchers:
             watcher.callback(None)
         return self.version
 
@@ -43,10 +43,10 @@
         items = (x for key, x in self.objects.items() if key[0] == kind)
         return tuple(x for x in items if x.version > since)
 
-    def changed(self):
+    def next_change(self):
         """Return a Deferred that fires at the next change."""
-        watcher = Deferred(lambda x: self.waiting.remove(x))
-        self.waiting.append(watcher)
+        watcher = Deferred(lambda x: self.watchers.remove(x))
+        self.watchers.append(watcher)
         return watcher
 
 
@@ -109,10 +109,10 @@
         clock = self.store.clock
         deadline = clock.seconds() + timeout_ms / 1000
         while not self.store.changes(kind, since) and clock.seconds() < deadline:
-            changed = self.store.changed()
-            timer = clock.callLater(deadline - clock.seconds(), changed.cancel)
+            next_change = self.store.next_change()
+            timer = clock.callLater(deadline - clock.seconds(), next_change.cancel)
             try:
-                await changed
+                await next_change
             except CancelledError:
                 break
             finally:
--- a/ebonybend/store/tests/test_rules_store.py
+++ b/ebonybend/store/tests/test_rules_store.py
@@ -29,14 +29,19 @@
         super().setUp()
         self.clock = Clock()
         self.memory = MemoryStore(self.clock)
-        self.in_force = RulesObject()
+        self.rules_in_force = RulesObject()
         self.client = StoreClient(self.memory)
         self.store = self.rules_store(self.client)
 
     def rules_store(self, client):
         audit = AuditLog(client)
         return RulesStore(
-            client, audit, self.clock, Random(1), lambda: self.in_force, lambda: 5.0
+            client,
+            audit,
+            self.clock,
+            Random(1),
+            lambda: self.rules_in_force,
+            lambda: 5.0,
         )
 
     def apply(self, change, store=None):
@@ -143,7 +148,7 @@
 
     def test_continues_from_the_revision_in_force(self):
         self.memory.write("rules", "main", to_json(RulesObject(3, "old", "")))
-        self.in_force = RulesObject(7, "newest", "", "Eva")
+        self.rules_in_force = RulesObject(7, "newest", "", "Eva")
         conflict = self.apply(proposed(3)).failure()
         self.assertEqual(7, conflict.current.revision)
         self.assertEqual(8, self.apply(proposed(7)).unwrap().revision)
--- a/ebonybend/store/tests/test_watcher.py
+++ b/ebonybend/store/tests/test_watcher.py
@@ -4,7 +4,7 @@
 from twisted.internet.task import Clock
 
 from ebonybend.store.tests.memory_store import MemoryStore, StoreClient
-from ebonybend.store.watcher import LONGEST_BACKOFF_S, Backoff, Watcher
+from ebonybend.store.watcher import MAX_BACKOFF_S, Backoff, Watcher
 
 
 class WatcherTest(TestCase):
@@ -27,7 +27,7 @@
     def run_for(self, seconds):
         self.clock.pump([0.01] * int(seconds / 0.01))
 
-    def test_follows_changes_and_deletions(self):
+    def test_reports_changes_and_deletions(self):
         self.memory.write("rules", "a", b"1")
         self.watcher.start()
         self.run_for(0.1)
@@ -47,7 +47,7 @@
         calls = self.client.calls
         self.assertTrue(self.watcher.failing)
         self.client.down = False
-        self.run_for(LONGEST_BACKOFF_S + 2.5)
+        self.run_for(MAX_BACKOFF_S + 2.5)
         self.assertFalse(self.watcher.failing)
         self.assertEqual([["a"], ["a", "b"]], self.seen)
         self.assertLess(calls, 12)
@@ -73,7 +73,7 @@
         self.run_for(15)
         self.assertEqual(["b"], self.seen[-1])
 
-    def test_a_waiting_watch_costs_few_calls(self):
+    def test_idle_watch_costs_few_calls(self):
         self.watcher.start()
         self.run_for(60)
         self.assertLessEqual(self.client.calls, 8)
@@ -86,5 +86,5 @@
         first, second = Backoff(Random(1)), Backoff(Random(2))
         delays = [(first.next(), second.next()) for _ in range(10)]
         self.assertTrue(all(a != b for a, b in delays))
-        self.assertLessEqual(max(max(pair) for pair in delays), LONGEST_BACKOFF_S)
-        self.assertGreaterEqual(min(delays[-1]), LONGEST_BACKOFF_S / 2)
+        self.assertLessEqual(max(max(pair) for pair in delays), MAX_BACKOFF_S)
+        self.assertGreaterEqual(min(delays[-1]), MAX_BACKOFF_S / 2)
--- a/ebonybend/store/watcher.py
+++ b/ebonybend/store/watcher.py
@@ -21,10 +21,10 @@
 WATCH_TIMEOUT_MS = 10_000
 FIRST_BACKOFF_S = 0.2
 # The watch recovers at most this long after the platform does.
-LONGEST_BACKOFF_S = 5.0
+MAX_BACKOFF_S = 5.0
 # Time to detect an outage, from the last byte that the platform should have
 # acknowledged: the interval of keep-alive probes and the time to connect.
-NOTICED_AFTER_S = 1.0
+DETECTION_DELAY_S = 1.0
 
 OnChange = Callable[[str, int, Mapping[str, StoredObject]], None]
 
@@ -32,9 +32,9 @@
 class Backoff:
     """Delays that double up to a limit, each with random jitter."""
 
-    def __init__(self, random: Random, longest_s: float = LONGEST_BACKOFF_S):
+    def __init__(self, random: Random, max_delay_s: float = MAX_BACKOFF_S):
         self.random = random
-        self.longest_s = longest_s
+        self.max_delay_s = max_delay_s
         self.delay_s = FIRST_BACKOFF_S
 
     def reset(self) -> None:
@@ -44,7 +44,7 @@
     def next(self) -> float:
         """Return the next delay in seconds, of which up to half is random."""
         delay = self.delay_s * (0.5 + self.random.random() / 2)
-        self.delay_s = min(self.delay_s * 2, self.longest_s)
+        self.delay_s = min(self.delay_s * 2, self.max_delay_s)
         return delay
 
 
@@ -59,7 +59,7 @@
         random: Random,
         on_change: OnChange,
         batch_delay_s: float = 0.0,
-        longest_backoff_s: float = LONGEST_BACKOFF_S,
+        max_backoff_s: float = MAX_BACKOFF_S,
         watch_timeout_ms: int = WATCH_TIMEOUT_MS,
         on_recovery: Callable[[], None] = lambda: None,
     ):
@@ -69,7 +69,7 @@
         self.on_change = on_change
         # Pause after a change, so that further changes are read in the same call.
         self.batch_delay_s = batch_delay_s
-        self.backoff = Backoff(random, longest_backoff_s)
+        self.backoff = Backoff(random, max_backoff_s)
         self.watch_timeout_ms = watch_timeout_ms
         # Called when the platform answers after a failure, before changes are reported.
         self.on_recovery = on_recovery
@@ -84,8 +84,8 @@
         self.available_since: float | None = None
         # Time at which the platform was last known to be unavailable.
         self.unavailable_at = float("-inf")
-        self.asked_at = 0.0
-        self.waiting: Deferred[bool] | None = None
+        self.call_started_at = 0.0
+        self.pending_step: Deferred[bool] | None = None
         self.tasks: Tasks | None = None
 
     def start(self) -> None:
@@ -103,21 +103,21 @@
     def resync(self) -> None:
         """List all objects again instead of waiting for a watch that may be dead."""
         self.version = None
-        if self.waiting is not None:
-            self.waiting.cancel()
+        if self.pending_step is not None:
+            self.pending_step.cancel()
 
     async def read(self) -> bool:
         """List the objects once; return whether the platform answered."""
-        return self._take(await self.store.list(self.kind), whole=True)
+        return self._apply(await self.store.list(self.kind), complete=True)
 
     async def _run(self, tasks: Tasks) -> None:
         while not tasks.stopped:
-            self.waiting = Deferred.fromCoroutine(self._step())
+            self.pending_step = Deferred.fromCoroutine(self._step())
             try:
-                reached = await self.waiting
+                reached = await self.pending_step
             except CancelledError:
                 reached = False
-            self.waiting = None
+            self.pending_step = None
             if tasks.stopped:
                 return
             if reached:
@@ -128,7 +128,7 @@
                 await tasks.sleep(self.backoff.next())
 
     async def _step(self) -> bool:
-        self.asked_at = self.timers.seconds()
+        self.call_started_at = self.timers.seconds()
         if self.version is None:
             return await self.read()
         since = self.version
@@ -140,11 +140,11 @@
             # The platform lost its state or no longer has this version, so list all.
             self.version = None
             return True
-        return self._take(answer, whole=False)
+        return self._apply(answer, complete=False)
 
-    def _take(self, answer: Result[ObjectList, StoreFailure], whole: bool) -> bool:
+    def _apply(self, answer: Result[ObjectList, StoreFailure], complete: bool) -> bool:
         if not isinstance(answer, Success):
-            self._failed(answer.failure())
+            self._record_failure(answer.failure())
             return False
         found = answer.unwrap()
         self.last_contact = self.timers.seconds()
@@ -154,9 +154,9 @@
             self.failing = False
             get_logger().info("watch_returned", kind=self.kind, version=found.version)
             self.on_recovery()
-        if whole:
+        if complete:
             self.objects = {item.name: item for item in found.items}
-        changed = whole or bool(found.items)
+        changed = complete or bool(found.items)
         for item in found.items:
             self.newest_version = max(self.newest_version, item.version)
             if item.deleted:
@@ -168,12 +168,12 @@
             self.on_change(self.kind, found.version, self.objects)
         return True
 
-    def _failed(self, failure: StoreFailure) -> None:
-        self.unavailable_at = self.asked_at
+    def _record_failure(self, failure: StoreFailure) -> None:
+        self.unavailable_at = self.call_started_at
         if not self.failing:
             # The watch may have been open long before the outage began.
-            noticed = self.timers.seconds() - NOTICED_AFTER_S
-            self.unavailable_at = max(self.asked_at, noticed)
+            earliest = self.timers.seconds() - DETECTION_DELAY_S
+            self.unavailable_at = max(self.call_started_at, earliest)
             get_logger().warning("watch_failed", kind=self.kind, error=failure.message)
         self.failing = True
         self.available_since = None
