--- a/ebonybend/steering/crashes.py
+++ b/ebonybend/steering/crashes.py
@@ -23,18 +23,18 @@
         self.clock = clock
         self.registry = SuspectRegistry(clock, CRASHES_TO_REFUSE)
         # Lost requests by server, with the times of their losses.
-        self.lost: dict[str, list[tuple[float, str]]] = {}
+        self.lost_requests: dict[str, list[tuple[float, str]]] = {}
 
     def record_lost_request(self, server: str, fingerprint: str) -> None:
         """Record a request whose connection ended before its answer."""
         now = self.clock.monotonic()
         recent = self._recent(server, now)
-        self.lost[server] = [*recent, (now, fingerprint)]
+        self.lost_requests[server] = [*recent, (now, fingerprint)]
 
     def record_refused_connection(self, server: str) -> None:
         """Record a crash of a server that refuses connections after lost requests."""
         recent = self._recent(server, self.clock.monotonic())
-        self.lost.pop(server, None)
+        self.lost_requests.pop(server, None)
         if recent:
             names = {fingerprint for _, fingerprint in recent}
             self.registry.record_crash(names, False, server)
@@ -54,5 +54,7 @@
 
     def _recent(self, server: str, now: float) -> list[tuple[float, str]]:
         return [
-            (at, f) for at, f in self.lost.get(server, ()) if now - at <= CRASH_WINDOW_S
+            (at, f)
+            for at, f in self.lost_requests.get(server, ())
+            if now - at <= CRASH_WINDOW_S
         ]
--- a/ebonybend/steering/placement.py
+++ b/ebonybend/steering/placement.py
@@ -113,12 +113,12 @@
         return self._by_preference(local or candidates, query, now)[:PREFERRED_SERVERS]
 
     def _candidates(self, query: PlacementQuery, now: float) -> list[TrackedServer]:
-        homes = query.route.home_regions
+        home_regions = query.route.home_regions
         usable = [
             state
             for state in self.table.usable(query.service.name)
             if state.server.name not in query.excluded
-            and (not homes or state.server.region in homes)
+            and (not home_regions or state.server.region in home_regions)
             and not (state.is_cold(now) and not state.pacer.ready(now))
         ]
         return without_ejected(usable, now)
@@ -140,21 +140,23 @@
         self, state: TrackedServer, query: PlacementQuery, now: float
     ) -> bool:
         load, slots = state.load(now), state.server.slots
-        expected = self.times.expected(query.route.name, state, query.object_key)
+        expected_s = self.times.expected(query.route.name, state, query.object_key)
         round_trip_s = state.round_trip_s or 0.0
         allowed_s = query.retry_remaining_s or query.route.objective_s
         on_time_s = allowed_s * ON_TIME_FRACTION
         if load < min(slots, self._load_limit(state, query)):
             # The request starts at once; a slow server has to answer on time too.
-            return state.slowness < SLOW_FACTOR or round_trip_s + expected <= on_time_s
+            return (
+                state.slowness < SLOW_FACTOR or round_trip_s + expected_s <= on_time_s
+            )
         if load >= self._load_limit(state, query):
             return False
-        if state.service_s is None or not expected:
+        if state.service_s is None or not expected_s:
             # The wait can't be estimated yet, and cold servers are slow at first.
             return load < slots * UNKNOWN_TIME_LOAD_LIMIT
         mean_s = state.service_s
-        wait = (load + 1 - slots) * mean_s / slots
-        return round_trip_s + wait + expected <= on_time_s
+        wait_s = (load + 1 - slots) * mean_s / slots
+        return round_trip_s + wait_s + expected_s <= on_time_s
 
     def _load_limit(self, state: TrackedServer, query: PlacementQuery) -> float:
         """Return the load below which a server accepts the request."""
--- a/ebonybend/steering/regions.py
+++ b/ebonybend/steering/regions.py
@@ -50,9 +50,11 @@
     total_spare = sum(spare.values())
     if total_spare <= 0:
         return {region: 1.0}
-    moved = min(excess, total_spare) / own_demand
-    shares = {name: moved * value / total_spare for name, value in spare.items()}
-    shares[region] = 1.0 - moved
+    moved_fraction = min(excess, total_spare) / own_demand
+    shares = {
+        name: moved_fraction * value / total_spare for name, value in spare.items()
+    }
+    shares[region] = 1.0 - moved_fraction
     return shares
 
 
@@ -134,7 +136,7 @@
     increased_since: float | None = None
 
     def update(self, slots: int, now: float) -> float:
-        """Record the usable slots; return the fraction that was lost."""
+        """Record the usable slots; return the fraction newly lost."""
         if slots <= self.slots:
             before, self.slots = self.slots, slots
             self.increased_since = None
--- a/ebonybend/steering/retries.py
+++ b/ebonybend/steering/retries.py
@@ -16,31 +16,33 @@
 
     def __init__(self, clock: Clock):
         self.clock = clock
-        self.floor = MIN_RETRIES_PER_S * BUDGET_LIFETIME_S
-        self.earned = 0.0
+        self.floor_tokens = MIN_RETRIES_PER_S * BUDGET_LIFETIME_S
+        self.earned_tokens = 0.0
         self._updated = clock.monotonic()
 
     def _update(self) -> None:
         now = self.clock.monotonic()
         elapsed = now - self._updated
         self._updated = now
-        max_floor = MIN_RETRIES_PER_S * BUDGET_LIFETIME_S
-        self.floor = min(max_floor, self.floor + elapsed * MIN_RETRIES_PER_S)
+        max_floor_tokens = MIN_RETRIES_PER_S * BUDGET_LIFETIME_S
+        self.floor_tokens = min(
+            max_floor_tokens, self.floor_tokens + elapsed * MIN_RETRIES_PER_S
+        )
         # Earned tokens decay within BUDGET_LIFETIME_S, so they follow the current load.
-        self.earned *= max(0.0, 1.0 - elapsed / BUDGET_LIFETIME_S)
+        self.earned_tokens *= max(0.0, 1.0 - elapsed / BUDGET_LIFETIME_S)
 
     def record_first_attempt(self) -> None:
         """Record a first attempt."""
         self._update()
-        self.earned += RETRY_RATIO
+        self.earned_tokens += RETRY_RATIO
 
     def try_acquire(self) -> bool:
         """Acquire a token for one retry; return whether one was available."""
         self._update()
-        if self.earned >= 1.0:
-            self.earned -= 1.0
+        if self.earned_tokens >= 1.0:
+            self.earned_tokens -= 1.0
             return True
-        if self.floor >= 1.0:
-            self.floor -= 1.0
+        if self.floor_tokens >= 1.0:
+            self.floor_tokens -= 1.0
             return True
         return False
--- a/ebonybend/steering/server_state.py
+++ b/ebonybend/steering/server_state.py
@@ -40,7 +40,7 @@
     failures: int = 0
     ejections: int = 0
     ejected_until: float = float("-inf")
-    # Whether the last ejection was because the server couldn't be reached.
+    # Whether the server couldn't be reached since its last complete answer.
     ejected_unreachable: bool = False
     cold_until: float = float("-inf")
     pacer: ColdPacer = field(factory=ColdPacer)
--- a/ebonybend/steering/tests/test_placement.py
+++ b/ebonybend/steering/tests/test_placement.py
@@ -46,12 +46,12 @@
     return Placement(table, ServiceTimes())
 
 
-def preference_order(found, names):
+def preference_order(chooser, names):
     """Return the states of servers in the object's order of preference."""
     ordered = sorted(
         names, key=lambda name: rendezvous_weight(b"17", name), reverse=True
     )
-    return [found.table.states[name] for name in ordered]
+    return [chooser.table.states[name] for name in ordered]
 
 
 class PreferredServersTest(TestCase):
@@ -140,9 +140,9 @@
     objective_s = ROUTE.objective_s
 
     def test_accepted_within_the_load_limit(self):
-        found = placement(server("s0"))
-        state = found.table.states["s0"]
-        found.times.record_answer_time("ride-history", state, b"17", 0.07, False)
+        chooser = placement(server("s0"))
+        state = chooser.table.states["s0"]
+        chooser.times.record_answer_time("ride-history", state, b"17", 0.07, False)
         state.service_s = self.mean_s
         state.in_flight = self.load
         state.slowness = self.slowness
@@ -153,7 +153,7 @@
             retry_remaining_s=self.retry_remaining_s,
             route=evolve(ROUTE, objective_s=self.objective_s),
         )
-        self.assertEqual(self.taken, found.choose(query, 0.0) is not None)
+        self.assertEqual(self.taken, chooser.choose(query, 0.0) is not None)
 
 
 class UnknownTimesTest(TestCase):
@@ -163,10 +163,10 @@
     """
 
     def test_no_queue_before_the_first_answer(self):
-        found = placement(server("s0"))
-        found.table.states["s0"].in_flight = SLOTS + 2
-        self.assertIsNone(found.choose(QUERY, 0.0))
-        pause = found.retry_after_s(QUERY, 0.0)
+        chooser = placement(server("s0"))
+        chooser.table.states["s0"].in_flight = SLOTS + 2
+        self.assertIsNone(chooser.choose(QUERY, 0.0))
+        pause = chooser.retry_after_s(QUERY, 0.0)
         self.assertGreaterEqual(pause, ROUTE.objective_s / SLOTS)
 
 
@@ -188,13 +188,13 @@
     slowness = 1.0
 
     def test_load_limit_keeps_urgent_requests_on_time(self):
-        found = placement(server("s0"))
-        state = found.table.states["s0"]
-        found.times.record_answer_time("defect-report", state, b"17", 0.1, False)
-        found.times.record_answer_time("defect-report", state, b"17", 0.1, False)
+        chooser = placement(server("s0"))
+        state = chooser.table.states["s0"]
+        chooser.times.record_answer_time("defect-report", state, b"17", 0.1, False)
+        chooser.times.record_answer_time("defect-report", state, b"17", 0.1, False)
         state.service_s = self.mean_s
         state.slowness = self.slowness
-        limit = found._load_limit(state, evolve(QUERY, urgent_route=URGENT))
+        limit = chooser._load_limit(state, evolve(QUERY, urgent_route=URGENT))
         self.assertAlmostEqual(self.limit, limit, delta=0.01)
 
 
@@ -216,45 +216,45 @@
     cold = False
 
     def test_not_used(self):
-        found = placement(server("s0", **self.changes))
-        found.table.set_evacuated(self.evacuated, {}, 0.0)
+        chooser = placement(server("s0", **self.changes))
+        chooser.table.set_evacuated(self.evacuated, {}, 0.0)
         if self.cold:
-            state = found.table.states["s0"]
+            state = chooser.table.states["s0"]
             state.cold_until = 3.0
             state.pacer.record_send(0.0, 16.0, 7)
         route = evolve(ROUTE, home_regions=self.homes)
         query = evolve(QUERY, route=route, excluded=self.excluded)
-        self.assertIsNone(found.choose(query, 0.0))
+        self.assertIsNone(chooser.choose(query, 0.0))
 
 
 class RegionTest(TestCase):
     """Guards against refusing all requests of a region without usable servers."""
 
     def test_another_region_takes_over(self):
-        found = placement(server("far", region="montego"))
-        self.assertEqual("far", found.choose(QUERY, 0.0).server.name)
+        chooser = placement(server("far", region="montego"))
+        self.assertEqual("far", chooser.choose(QUERY, 0.0).server.name)
 
     def test_unreachable_region_gets_no_requests(self):
         """Load pattern: a region is cut off, and its servers fail one by one."""
         local = [f"s{i}" for i in range(4)]
-        found = placement(*map(server, local), server("far", region="montego"))
+        chooser = placement(*map(server, local), server("far", region="montego"))
         for name in local:
-            found.table.states[name].record_unreachable(0.0, False)
-        self.assertEqual("far", found.choose(QUERY, 0.1).server.name)
+            chooser.table.states[name].record_unreachable(0.0, False)
+        self.assertEqual("far", chooser.choose(QUERY, 0.1).server.name)
         self.assertEqual(
-            {"montego": SLOTS}, capacity_by_region(found.table, "history", 0.1)
+            {"montego": SLOTS}, capacity_by_region(chooser.table, "history", 0.1)
         )
 
     def test_all_servers_unreachable(self):
         """Load pattern: the node itself is cut off, while the servers are healthy."""
-        found = placement(server("s0"), server("s1"))
-        for state in found.table.states.values():
+        chooser = placement(server("s0"), server("s1"))
+        for state in chooser.table.states.values():
             state.record_unreachable(0.0, False)
-        self.assertIsNotNone(found.choose(QUERY, 0.1))
+        self.assertIsNotNone(chooser.choose(QUERY, 0.1))
 
     def test_idle_remote_server_helps_a_full_region(self):
-        found = placement(server("near"), server("far", region="montego"))
-        found.table.states["near"].in_flight = SLOTS * 3
-        self.assertEqual("far", found.choose(QUERY, 0.0).server.name)
-        found.table.states["far"].in_flight = SLOTS - 1
-        self.assertIsNone(found.choose(QUERY, 0.0))
+        chooser = placement(server("near"), server("far", region="montego"))
+        chooser.table.states["near"].in_flight = SLOTS * 3
+        self.assertEqual("far", chooser.choose(QUERY, 0.0).server.name)
+        chooser.table.states["far"].in_flight = SLOTS - 1
+        self.assertIsNone(chooser.choose(QUERY, 0.0))
--- a/ebonybend/steering/tests/test_regions.py
+++ b/ebonybend/steering/tests/test_regions.py
@@ -56,7 +56,7 @@
 class RegionSharesTest(TestCase):
     """Guards against moving more requests than allowed, and against needless moves."""
 
-    def moved(self, shares, steps, period_s):
+    def moved_fraction(self, shares, steps, period_s):
         """Return the largest fraction of the objects that moved in one window."""
         target = {"k": 0.0, "m": 1.0}
         capacity = {"k": 10.0, "m": 10.0}
@@ -73,7 +73,7 @@
         return largest
 
     def test_change_in_a_window_is_bounded(self):
-        self.assertLess(self.moved(RegionShares("k"), 60, 0.5), 0.15)
+        self.assertLess(self.moved_fraction(RegionShares("k"), 60, 0.5), 0.15)
 
     def test_small_change_moves_few_objects(self):
         shares = RegionShares("k", {"k": 0.6, "m": 0.2, "n": 0.2})
--- a/ebonybend/store/client.py
+++ b/ebonybend/store/client.py
@@ -100,14 +100,16 @@
     if answer.status == 404:
         return StoreFailure(StoreFailureKind.NOT_FOUND, message)
     if answer.status == 412:
-        return StoreFailure(StoreFailureKind.CONFLICT, message, _current(answer.body))
+        return StoreFailure(
+            StoreFailureKind.CONFLICT, message, _decode_current(answer.body)
+        )
     if answer.status >= 500:
         # A gateway may answer 5xx after the store has executed the call.
         return StoreFailure(StoreFailureKind.ANSWER_LOST, message)
     return StoreFailure(StoreFailureKind.REJECTED, message)
 
 
-def _current(body: bytes) -> StoredObject | None:
+def _decode_current(body: bytes) -> StoredObject | None:
     try:
         return from_json(body, StoredObject | None)
     except SteeringError:
--- a/ebonybend/world/deployment.py
+++ b/ebonybend/world/deployment.py
@@ -54,7 +54,7 @@
         return link.one_way_latency_ms if link else self.domain_latency_ms
 
     def contract_of(self, service: str) -> Contract:
-        """Return the contract of a service's customer, or one of equal weights."""
+        """Return the contract of a service's customer, or one with equal weights."""
         customer = next((s.customer for s in self.services if s.name == service), "")
         matches = (c for c in self.contracts if c.customer == customer)
         return next(matches, Contract(customer, 0.5, 0.5))
