--- a/ebonybend/steering/shares.py
+++ b/ebonybend/steering/shares.py
@@ -79,7 +79,7 @@
 
 @frozen
 class CapUsage:
-    """A sender's sends under a cap in the last window."""
+    """A sender's use of a cap in the last window."""
 
     sent: int
     # Sends allowed now, including leased units.
--- a/ebonybend/steering/tests/test_placement.py
+++ b/ebonybend/steering/tests/test_placement.py
@@ -166,8 +166,8 @@
         chooser = placement(server("s0"))
         chooser.table.states["s0"].in_flight = SLOTS + 2
         self.assertIsNone(chooser.choose(QUERY, 0.0))
-        pause = chooser.retry_after_s(QUERY, 0.0)
-        self.assertGreaterEqual(pause, ROUTE.objective_s / SLOTS)
+        delay_s = chooser.retry_after_s(QUERY, 0.0)
+        self.assertGreaterEqual(delay_s, ROUTE.objective_s / SLOTS)
 
 
 class UrgentRouteTest(TestWithScenarios, TestCase):
--- a/ebonybend/steering/tests/test_shares.py
+++ b/ebonybend/steering/tests/test_shares.py
@@ -52,14 +52,14 @@
         self.assertEqual(20, self.lender.units())
 
     def test_lease_ends_with_a_lowered_cap(self):
-        """Guards against 38 + 2 units in use after a cap of 10 for each sender."""
-        asked_at = self.clock.monotonic()
+        """Guards against 38 + 2 units in use when a lowered cap allows 10 to each."""
+        requested_at = self.clock.monotonic()
         lease = self.lender.grant_lease(50, "entry-1")
-        self.borrower.use_lease(lease, asked_at)
+        self.borrower.use_lease(lease, requested_at)
         self.clock.advance(0.1)
         for share in (self.lender, self.borrower):
             share.configure(70, NAMES)
-        self.borrower.use_lease(lease, asked_at)
+        self.borrower.use_lease(lease, requested_at)
         self.assertEqual((0, 10), (self.lender.units(), self.borrower.units()))
         self.assertEqual(10, self.lender.grant_lease(50, "entry-1").units)
 
--- a/ebonybend/store/rules_store.py
+++ b/ebonybend/store/rules_store.py
@@ -154,7 +154,7 @@
         return Failure(found.failure())
 
     async def apply(self, change: ProposedChange) -> Result[RulesObject, ApplyFailure]:
-        """Write a change; return the rules that include it, or why they don't."""
+        """Write a change; return the rules that include it, or the failure."""
         deadline = self.timers.seconds() + APPLY_TIME_S
         backoff = Backoff(self.random)
         may_be_written = False
--- a/ebonybend/world/__init__.py
+++ b/ebonybend/world/__init__.py
@@ -1,4 +1,4 @@
-"""The servers, instances, regions, links and contracts between which requests go."""
+"""The data model: servers, instances, regions, links, routes and contracts."""
 
 from ebonybend.world.backend_server import BackendServer, ServerState
 from ebonybend.world.contract import Contract, Service
--- a/ebonybend/world/backend_server.py
+++ b/ebonybend/world/backend_server.py
@@ -32,5 +32,6 @@
     region: str = ""
     # Start of the process in Unix milliseconds; 0 if the list doesn't state it.
     started_ms: int = 0
-    # Time after this entry was written for which the server gets only a limited rate.
+    # Time for which the server is still cold, from when this entry was written. A cold
+    # server accepts only a limited rate.
     cold_for_s: float = 0.0
--- a/ebonybend/world/contract.py
+++ b/ebonybend/world/contract.py
@@ -5,7 +5,7 @@
 
 @frozen
 class Contract:
-    """A customer's weights for choosing between servers that can run a request."""
+    """A customer's weights of latency and headroom in the choice of a server."""
 
     customer: str
     latency_weight: float
