--- a/ebonybend/steering/placement.py
+++ b/ebonybend/steering/placement.py
@@ -1,4 +1,4 @@
-"""Choose the backend server of a request: warm objects first, within bounds."""
+"""Choose the backend server of a request by object affinity and load."""
 
 from collections.abc import Collection, Mapping
 
@@ -6,209 +6,224 @@
 from xxhash import xxh3_64_intdigest
 
 from ebonybend.steering.server_state import (
-    MOST_EJECTED_SHARE,
+    MAX_EJECTED_FRACTION,
     ServerTable,
     TrackedServer,
 )
-from ebonybend.steering.service_times import SLOW, ServiceTimes
+from ebonybend.steering.service_times import SLOW_FACTOR, ServiceTimes
 from ebonybend.world.route import Route, ServiceLimits
 
-# Places of an object in its region; more would keep it cold in each of them.
-PLACES = 2
-# Part of the objective within which an answer is expected; the rest covers the way to
-# the caller and what the estimate misses.
-ON_TIME_PART = 0.85
-# Requests on a server, running and waiting, as a multiple of its slots: of the most
-# urgent routes, of callers that come back, and of the others, so that a burst leaves
-# the urgent ones a short wait.
-URGENT_FULL_AT = 3.0
-RETURNED_FULL_AT = 2.4
-FULL_AT = 1.4
-# The same while no answer has told how long requests take.
-UNKNOWN_FULL_AT = 1.2
-# Slots that less urgent requests leave free where urgent ones can't wait.
+# Preferred servers of an object in its region. With more of them, each would see the
+# object too rarely to keep it warm.
+PREFERRED_SERVERS = 2
+# Fraction of the latency objective that the estimated answer time may use. The rest
+# covers the network delay to the client and errors of the estimate.
+ON_TIME_FRACTION = 0.85
+# Limits on the load of a server, in running and queued requests per slot: for the most
+# urgent routes, for client retries, and for other requests. The lower limits keep the
+# wait of urgent requests short during a burst.
+URGENT_LOAD_LIMIT = 3.0
+RETRY_LOAD_LIMIT = 2.4
+LOAD_LIMIT = 1.4
+# The same limit while the service time is unknown.
+UNKNOWN_TIME_LOAD_LIMIT = 1.2
+# Slots that less urgent requests leave free where urgent ones would be late if queued.
 RESERVED_SLOTS = 1
-# Servers of other regions that are considered when the object's region is full.
-FAR_PLACES = 2
-# Bounds of the time after which a refused caller is asked to come back.
-LEAST_PAUSE_S = 0.06
-MOST_PAUSE_S = 1.0
-# A server outside an object's places takes it only below this part of its slots.
-IDLE_PART = 0.5
+# Servers in remote regions that are tried when the object's region is full.
+MAX_REMOTE_SERVERS = 2
+# Bounds of the delay after which a refused client is asked to retry.
+MIN_RETRY_AFTER_S = 0.06
+MAX_RETRY_AFTER_S = 1.0
+# A server that isn't preferred for an object runs it only while its load is below this
+# fraction of its slots.
+IDLE_FRACTION = 0.5
 
 
 @frozen(kw_only=True)
 class PlacementQuery:
-    """What the choice depends on."""
+    """The properties of a request that the choice of its server depends on."""
 
     service: ServiceLimits
     route: Route
-    # Requests of one object have one key; empty if none is stated.
+    # Key shared by all requests for one object; empty if the request states none.
     object_key: bytes
-    # Region that takes the object.
+    # Region to which the object is assigned.
     region: str
-    # The most urgent route of the service, if it is more urgent than this one.
+    # The most urgent route of the service, or None if it isn't more urgent than this.
     urgent_route: Route | None = None
-    # Time that is left to the caller, if it comes back after a refusal; None if it
-    # asks for the first time.
+    # Time for which a retrying client still waits; None for a first attempt.
     retry_remaining_s: float | None = None
     excluded: Collection[str] = ()
 
 
-def rank(object_key: bytes, name: str) -> int:
-    """Return the weight of a server for an object; the largest is its place."""
+def rendezvous_weight(object_key: bytes, name: str) -> int:
+    """Return a server's rendezvous-hashing weight for an object; the largest wins."""
     return xxh3_64_intdigest(object_key + b"\0" + name.encode())
 
 
 class Placement:
-    """Choose servers within the bounds of each."""
+    """Choose servers without exceeding the load limit of any."""
 
     def __init__(self, table: ServerTable, times: ServiceTimes):
         self.table = table
         self.times = times
 
     def choose(self, query: PlacementQuery, now: float) -> TrackedServer | None:
-        """Return the server that takes the request, or None if none has room."""
+        """Return the server to send the request to, or None if none has capacity."""
         candidates = self._candidates(query, now)
-        near = [s for s in candidates if s.server.region == query.region]
-        ordered = self._ordered(near or candidates, query, now)
-        places = ordered[:PLACES]
-        for state in places:
-            if self._has_room(state, query, now):
+        local = [s for s in candidates if s.server.region == query.region]
+        ordered = self._by_preference(local or candidates, query, now)
+        preferred = ordered[:PREFERRED_SERVERS]
+        for state in preferred:
+            if self._has_capacity(state, query, now):
                 return state
-        idle = self._idle(ordered[PLACES:], query, now)
-        if idle is not None or not near:
+        idle = self._least_loaded_idle(ordered[PREFERRED_SERVERS:], query, now)
+        if idle is not None or not local:
             return idle
-        far = [s for s in candidates if s.server.region != query.region]
-        return self._idle(self._ordered(far, query, now)[:FAR_PLACES], query, now)
+        remote = [s for s in candidates if s.server.region != query.region]
+        return self._least_loaded_idle(
+            self._by_preference(remote, query, now)[:MAX_REMOTE_SERVERS], query, now
+        )
 
     def retry_after_s(self, query: PlacementQuery, now: float) -> float:
-        """Return the time after which a place of the object has room again."""
-        pauses = []
-        for state in self._places(query, now):
-            mean = state.service_s or query.route.objective_s
+        """Return the estimated seconds until a preferred server has capacity."""
+        delays_s = []
+        for state in self._preferred(query, now):
+            mean_s = state.service_s or query.route.objective_s
             slots = state.server.slots
-            over = state.load(now) + 1 - slots * FULL_AT
-            pauses.append(max(over, 1.0) * mean / slots)
-        return min(max(min(pauses, default=0.0), LEAST_PAUSE_S), MOST_PAUSE_S)
+            excess = state.load(now) + 1 - slots * LOAD_LIMIT
+            delays_s.append(max(excess, 1.0) * mean_s / slots)
+        return min(
+            max(min(delays_s, default=0.0), MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S
+        )
 
     def describe(self, query: PlacementQuery, now: float) -> str:
-        """Return the loads that decided a refusal, for the log."""
+        """Describe the server loads that led to a refusal, for the log."""
         loads = [
             f"{state.server.name} {state.load(now):.1f} of {state.server.slots}"
             f" (report {now - state.reported_at:.1f} s old)"
-            for state in self._places(query, now)
+            for state in self._preferred(query, now)
         ]
         return f"{len(self._candidates(query, now))} usable; " + ", ".join(loads)
 
-    def _places(self, query: PlacementQuery, now: float) -> list[TrackedServer]:
-        """Return the object's places in its region, or anywhere if it has no server."""
+    def _preferred(self, query: PlacementQuery, now: float) -> list[TrackedServer]:
+        """Return the object's preferred servers, in its region if that has any."""
         candidates = self._candidates(query, now)
-        near = [s for s in candidates if s.server.region == query.region]
-        return self._ordered(near or candidates, query, now)[:PLACES]
+        local = [s for s in candidates if s.server.region == query.region]
+        return self._by_preference(local or candidates, query, now)[:PREFERRED_SERVERS]
 
     def _candidates(self, query: PlacementQuery, now: float) -> list[TrackedServer]:
-        homes = query.route.home_regions
+        home_regions = query.route.home_regions
         usable = [
             state
             for state in self.table.usable(query.service.name)
             if state.server.name not in query.excluded
-            and (not homes or state.server.region in homes)
+            and (not home_regions or state.server.region in home_regions)
             and not (state.is_cold(now) and not state.pacer.ready(now))
         ]
         return without_ejected(usable, now)
 
-    def _ordered(
+    def _by_preference(
         self, states: list[TrackedServer], query: PlacementQuery, now: float
     ) -> list[TrackedServer]:
-        """Return the servers in the order of preference."""
+        """Sort servers by rendezvous weight for sticky routes, otherwise by load."""
         if query.route.sticky and query.object_key:
             key = query.object_key
-            return sorted(states, key=lambda s: rank(key, s.server.name), reverse=True)
+            return sorted(
+                states,
+                key=lambda s: rendezvous_weight(key, s.server.name),
+                reverse=True,
+            )
         return sorted(states, key=lambda s: s.load(now) / s.server.slots)
 
-    def _has_room(
+    def _has_capacity(
         self, state: TrackedServer, query: PlacementQuery, now: float
     ) -> bool:
         load, slots = state.load(now), state.server.slots
-        expected = self.times.expected(query.route.name, state, query.object_key)
-        way = state.round_trip_s or 0.0
-        within = query.retry_remaining_s or query.route.objective_s
-        on_time = within * ON_TIME_PART
-        if load < min(slots, self._most(state, query)):
-            # It starts at once; a slow server is used only while it is on time.
-            return state.slowness < SLOW or way + expected <= on_time
-        if load >= self._most(state, query):
+        expected_s = self.times.expected(query.route.name, state, query.object_key)
+        round_trip_s = state.round_trip_s or 0.0
+        allowed_s = query.retry_remaining_s or query.route.objective_s
+        on_time_s = allowed_s * ON_TIME_FRACTION
+        if load < min(slots, self._load_limit(state, query)):
+            # The request starts at once; a slow server has to answer on time too.
+            return (
+                state.slowness < SLOW_FACTOR or round_trip_s + expected_s <= on_time_s
+            )
+        if load >= self._load_limit(state, query):
             return False
-        if state.service_s is None or not expected:
-            # Nothing is known of the wait yet, and cold servers are slow at first.
-            return load < slots * UNKNOWN_FULL_AT
-        mean = state.service_s
-        wait = (load + 1 - slots) * mean / slots
-        return way + wait + expected <= on_time
-
-    def _most(self, state: TrackedServer, query: PlacementQuery) -> float:
-        """Return the load up to which a server takes a request."""
+        if state.service_s is None or not expected_s:
+            # The wait can't be estimated yet, and cold servers are slow at first.
+            return load < slots * UNKNOWN_TIME_LOAD_LIMIT
+        mean_s = state.service_s
+        wait_s = (load + 1 - slots) * mean_s / slots
+        return round_trip_s + wait_s + expected_s <= on_time_s
+
+    def _load_limit(self, state: TrackedServer, query: PlacementQuery) -> float:
+        """Return the load below which a server accepts the request."""
         slots = state.server.slots
         urgent = query.urgent_route
         if urgent is None:
-            return slots * URGENT_FULL_AT
-        part = FULL_AT if query.retry_remaining_s is None else RETURNED_FULL_AT
-        needed = self.times.warm_time(urgent.name) * state.slowness
-        mean = state.service_s or 0.0
-        if not needed or not mean:
-            return slots * part
-        # A less urgent request leaves a queue in which an urgent one is on time.
-        spare = urgent.objective_s * ON_TIME_PART - needed - (state.round_trip_s or 0.0)
-        queue = spare * slots / mean
-        return min(max(slots + queue, slots - RESERVED_SLOTS), slots * part)
-
-    def _idle(
+            return slots * URGENT_LOAD_LIMIT
+        multiple = LOAD_LIMIT if query.retry_remaining_s is None else RETRY_LOAD_LIMIT
+        urgent_s = self.times.warm_time(urgent.name) * state.slowness
+        mean_s = state.service_s or 0.0
+        if not urgent_s or not mean_s:
+            return slots * multiple
+        # Keep the queue short enough for an urgent request to be on time.
+        spare_s = (
+            urgent.objective_s * ON_TIME_FRACTION
+            - urgent_s
+            - (state.round_trip_s or 0.0)
+        )
+        queue_length = spare_s * slots / mean_s
+        return min(max(slots + queue_length, slots - RESERVED_SLOTS), slots * multiple)
+
+    def _least_loaded_idle(
         self, states: list[TrackedServer], query: PlacementQuery, now: float
     ) -> TrackedServer | None:
-        """Return the least loaded server that is nearly idle, if it is on time.
+        """Return the least loaded of the nearly idle servers that answer on time.
 
-        The object is cold there, so a late answer would also cost the others a slot
-        for the time of several warm ones.
+        The object is cold there, so a late answer would also hold a slot for the time
+        of several requests to warm objects.
         """
-        on_time = query.route.objective_s * ON_TIME_PART
+        on_time_s = query.route.objective_s * ON_TIME_FRACTION
         idle = [
             s
             for s in states
-            if s.load(now) < s.server.slots * IDLE_PART
+            if s.load(now) < s.server.slots * IDLE_FRACTION
             and (s.round_trip_s or 0.0)
             + self.times.expected(query.route.name, s, query.object_key)
-            <= on_time
+            <= on_time_s
         ]
         return min(idle, key=lambda s: s.load(now) / s.server.slots, default=None)
 
 
 def without_ejected(states: list[TrackedServer], now: float) -> list[TrackedServer]:
-    """Leave ejected servers out, unless too many of a region's would be.
+    """Filter out ejected servers, up to MAX_EJECTED_FRACTION of a region's servers.
 
-    All servers of a region may be out of reach, if there are others.
+    All unreachable servers are filtered out first, unless none would remain.
     """
     states = [s for s in states if not s.is_unreachable(now)] or states
     by_region: dict[str, list[TrackedServer]] = {}
     for state in states:
         by_region.setdefault(state.server.region, []).append(state)
-    kept: list[TrackedServer] = []
+    remaining: list[TrackedServer] = []
     for group in by_region.values():
         healthy = [state for state in group if not state.is_ejected(now)]
-        most = len(group) * MOST_EJECTED_SHARE
-        if len(group) - len(healthy) > most:
-            # So many failures at once say more of the network than of the servers.
+        max_ejected = len(group) * MAX_EJECTED_FRACTION
+        if len(group) - len(healthy) > max_ejected:
+            # So many failures at once point to the network, not to the servers.
             ejected = [state for state in group if state.is_ejected(now)]
             ejected.sort(key=lambda state: state.ejected_until)
-            healthy += ejected[: len(group) - int(most) - len(healthy)]
-        kept += healthy
-    return kept
+            healthy += ejected[: len(group) - int(max_ejected) - len(healthy)]
+        remaining += healthy
+    return remaining
 
 
 def capacity_by_region(
     table: ServerTable, service: str, now: float
 ) -> dict[str, float]:
-    """Return the room of a service by region, in slots of servers of common speed."""
+    """Return a service's capacity by region, in slots of servers of average speed."""
     capacity: dict[str, float] = {}
     for state in without_ejected(table.usable(service), now):
         slots = state.server.slots / max(state.slowness, 1.0)
@@ -218,11 +233,11 @@
 
 
 def slots_in(table: ServerTable, service: str, region: str, now: float) -> int:
-    """Return the slots of a service that can be used in a region."""
+    """Return the number of a service's usable slots in a region."""
     states = without_ejected(table.usable(service), now)
     return sum(s.server.slots for s in states if s.server.region == region)
 
 
 def limits_of(services: Mapping[str, ServiceLimits], name: str) -> ServiceLimits:
-    """Return a service's bounds; a service without any has no cold rate."""
+    """Return a service's limits, all zero if none are configured."""
     return services.get(name) or ServiceLimits(name, 0, 0.0, 0.0)
--- a/ebonybend/steering/shared_rates.py
+++ b/ebonybend/steering/shared_rates.py
@@ -1,41 +1,42 @@
-"""Bounds over all nodes together, kept by fixed shares without asking anyone."""
+"""Enforce limits that all nodes share, by a fixed share per node."""
 
 from collections import deque
 
-# Part of a shared bound that is used, so that differing views of the number of nodes
-# and requests on their way don't exceed it.
-SAFE_SHARE = 0.8
-# A cold server that gets nothing never proves itself.
-LEAST_COLD_RATE = 0.5
+# Fraction of a shared limit that is used. The rest covers requests in transit and
+# differences between the nodes' views of how many nodes there are.
+SAFETY_FACTOR = 0.8
+# Lowest rate of a node to a cold server, which needs requests to show that it works.
+MIN_COLD_RATE = 0.5
 
 
 class RetryWindow:
-    """Bound the repeated sends to one service in any window.
+    """Limit the retries to one service in any window.
 
-    All nodes together may repeat ratio x first sends + slack. Each node uses its own
-    first sends and an equal part of the slack, so the sum holds whoever is reachable.
+    All nodes together may send ratio x first sends + slack retries. Each node uses its
+    own first sends and an equal part of the slack, so the limit holds whichever nodes
+    are reachable.
     """
 
     def __init__(self, ratio: float, slack: float, window_s: float):
         self.ratio = ratio
         self.slack = slack
         self.window_s = window_s
-        self.firsts: deque[float] = deque()
-        self.repeats: deque[float] = deque()
+        self.first_sends: deque[float] = deque()
+        self.retries: deque[float] = deque()
 
     def record_first_send(self, now: float) -> None:
-        """Count a request that is sent for the first time."""
-        self.firsts.append(now)
-        self._expire(self.firsts, now)
+        """Record a request that is sent for the first time."""
+        self.first_sends.append(now)
+        self._expire(self.first_sends, now)
 
     def try_acquire(self, now: float, nodes: int) -> bool:
-        """Take one repeated send; return False if none is left."""
-        self._expire(self.firsts, now)
-        self._expire(self.repeats, now)
-        allowed = self.ratio * len(self.firsts) + self.slack / max(nodes, 1)
-        if len(self.repeats) + 1 > allowed * SAFE_SHARE:
+        """Record a retry if one is allowed now; return whether it is."""
+        self._expire(self.first_sends, now)
+        self._expire(self.retries, now)
+        allowed = self.ratio * len(self.first_sends) + self.slack / max(nodes, 1)
+        if len(self.retries) + 1 > allowed * SAFETY_FACTOR:
             return False
-        self.repeats.append(now)
+        self.retries.append(now)
         return True
 
     def _expire(self, times: deque[float], now: float) -> None:
@@ -50,10 +51,10 @@
         self.next_at = 0.0
 
     def ready(self, now: float) -> bool:
-        """Tell whether a request may be sent now."""
+        """Return whether a request may be sent now."""
         return now >= self.next_at
 
     def record_send(self, now: float, rate: float, nodes: int) -> None:
-        """Count a request; rate is what the server bears from all nodes a second."""
-        share = max(rate * SAFE_SHARE / max(nodes, 1), LEAST_COLD_RATE)
+        """Record a request; rate is the server's limit for all nodes per second."""
+        share = max(rate * SAFETY_FACTOR / max(nodes, 1), MIN_COLD_RATE)
         self.next_at = max(self.next_at, now) + 1.0 / share
--- a/ebonybend/steering/tests/test_placement.py
+++ b/ebonybend/steering/tests/test_placement.py
@@ -3,12 +3,12 @@
 from testtools import TestCase
 
 from ebonybend.steering.placement import (
-    FULL_AT,
-    URGENT_FULL_AT,
+    LOAD_LIMIT,
+    URGENT_LOAD_LIMIT,
     Placement,
     PlacementQuery,
     capacity_by_region,
-    rank,
+    rendezvous_weight,
 )
 from ebonybend.steering.server_state import ServerTable
 from ebonybend.steering.service_times import ServiceTimes
@@ -46,16 +46,18 @@
     return Placement(table, ServiceTimes())
 
 
-def places(found, names):
-    """Return the states of servers in the order of an object's places."""
-    ordered = sorted(names, key=lambda name: rank(b"17", name), reverse=True)
-    return [found.table.states[name] for name in ordered]
+def preference_order(chooser, names):
+    """Return the states of servers in the object's order of preference."""
+    ordered = sorted(
+        names, key=lambda name: rendezvous_weight(b"17", name), reverse=True
+    )
+    return [chooser.table.states[name] for name in ordered]
 
 
-class PlacesTest(TestCase):
-    """Guards against objects that run everywhere and are warm nowhere.
+class PreferredServersTest(TestCase):
+    """Guards against objects that run on all servers and so are warm on none.
 
-    Load pattern: a burst on some dozens of objects that all servers know cold.
+    Load pattern: a burst of requests for some dozens of objects, cold on all servers.
     """
 
     def setUp(self):
@@ -63,27 +65,27 @@
         self.placement = placement(*(server(f"s{i}") for i in range(4)))
         for state in self.placement.table.states.values():
             state.service_s = 0.05
-        self.order = places(self.placement, self.placement.table.states)
+        self.order = preference_order(self.placement, self.placement.table.states)
 
     def choose(self, query=QUERY):
         state = self.placement.choose(query, 0.0)
         return state and state.server.name
 
-    def test_first_place_then_second(self):
+    def test_first_preferred_server_then_second(self):
         self.assertEqual(self.order[0].server.name, self.choose())
-        self.order[0].in_flight = int(SLOTS * URGENT_FULL_AT)
+        self.order[0].in_flight = int(SLOTS * URGENT_LOAD_LIMIT)
         self.assertEqual(self.order[1].server.name, self.choose())
 
     def test_refused_rather_than_sent_to_a_third_busy_server(self):
         for state in self.order[:2]:
-            state.in_flight = int(SLOTS * URGENT_FULL_AT)
+            state.in_flight = int(SLOTS * URGENT_LOAD_LIMIT)
         for state in self.order[2:]:
             state.in_flight = SLOTS - 1
         self.assertIsNone(self.choose())
 
-    def test_an_idle_server_takes_what_the_places_have_no_room_for(self):
+    def test_idle_server_runs_what_exceeds_the_preferred_ones(self):
         for state in self.order[:2]:
-            state.in_flight = int(SLOTS * URGENT_FULL_AT)
+            state.in_flight = int(SLOTS * URGENT_LOAD_LIMIT)
         self.order[2].in_flight = 3
         self.assertEqual(self.order[3].server.name, self.choose())
 
@@ -92,29 +94,29 @@
         self.assertEqual(self.choose(), other.choose(QUERY, 0.0).server.name)
 
 
-class RoomTest(TestWithScenarios, TestCase):
-    """Guards against answers that are late because they waited behind others.
+class LoadLimitTest(TestWithScenarios, TestCase):
+    """Guards against late answers to requests that queued behind others.
 
-    Load pattern: urgent short requests beside less urgent long ones on one service.
+    Load pattern: short urgent requests and long less urgent ones on one service.
     """
 
     scenarios = [
         ("free slot", {"load": SLOTS - 1, "taken": True}),
         ("short wait", {"load": SLOTS + 2, "taken": True}),
         ("late", {"load": SLOTS + 8, "mean_s": 0.3, "taken": False}),
-        ("less urgent", {"load": int(SLOTS * FULL_AT), "urgent": False}),
-        ("urgent", {"load": int(SLOTS * FULL_AT), "urgent": True, "taken": True}),
+        ("less urgent", {"load": int(SLOTS * LOAD_LIMIT), "urgent": False}),
+        ("urgent", {"load": int(SLOTS * LOAD_LIMIT), "urgent": True, "taken": True}),
         (
-            "came back with time left",
+            "client retry with time remaining",
             {
-                "load": int(SLOTS * FULL_AT),
+                "load": int(SLOTS * LOAD_LIMIT),
                 "urgent": False,
                 "retry_remaining_s": 0.5,
                 "taken": True,
             },
         ),
         (
-            "came back to a long queue",
+            "client retry at a long queue",
             {
                 "load": 2 * SLOTS,
                 "urgent": False,
@@ -127,7 +129,7 @@
             {"load": 2 * SLOTS, "urgent": False, "objective_s": 0.8},
         ),
         ("slow server", {"load": 0, "slowness": 10.0, "taken": False}),
-        ("far and slow", {"load": 0, "slowness": 2.5, "way_s": 0.1, "taken": False}),
+        ("remote and slow", {"load": 0, "slowness": 2.5, "way_s": 0.1, "taken": False}),
     ]
     urgent = True
     taken = False
@@ -137,10 +139,10 @@
     retry_remaining_s = None
     objective_s = ROUTE.objective_s
 
-    def test_room(self):
-        found = placement(server("s0"))
-        state = found.table.states["s0"]
-        found.times.record_answer_time("ride-history", state, b"17", 0.07, False)
+    def test_accepted_within_the_load_limit(self):
+        chooser = placement(server("s0"))
+        state = chooser.table.states["s0"]
+        chooser.times.record_answer_time("ride-history", state, b"17", 0.07, False)
         state.service_s = self.mean_s
         state.in_flight = self.load
         state.slowness = self.slowness
@@ -151,49 +153,52 @@
             retry_remaining_s=self.retry_remaining_s,
             route=evolve(ROUTE, objective_s=self.objective_s),
         )
-        self.assertEqual(self.taken, found.choose(query, 0.0) is not None)
+        self.assertEqual(self.taken, chooser.choose(query, 0.0) is not None)
 
 
-class FirstSecondsTest(TestCase):
-    """Guards against queues on servers of which nothing is known.
+class UnknownTimesTest(TestCase):
+    """Guards against queues on servers whose service times are unknown.
 
-    Load pattern: the first second of a day, when every object is cold.
+    Load pattern: the first second of traffic, when every object is cold.
     """
 
     def test_no_queue_before_the_first_answer(self):
-        found = placement(server("s0"))
-        found.table.states["s0"].in_flight = SLOTS + 2
-        self.assertIsNone(found.choose(QUERY, 0.0))
-        pause = found.retry_after_s(QUERY, 0.0)
-        self.assertGreaterEqual(pause, ROUTE.objective_s / SLOTS)
+        chooser = placement(server("s0"))
+        chooser.table.states["s0"].in_flight = SLOTS + 2
+        self.assertIsNone(chooser.choose(QUERY, 0.0))
+        delay_s = chooser.retry_after_s(QUERY, 0.0)
+        self.assertGreaterEqual(delay_s, ROUTE.objective_s / SLOTS)
 
 
-class UrgentTest(TestWithScenarios, TestCase):
-    """Guards against long requests that make short urgent ones late.
+class UrgentRouteTest(TestWithScenarios, TestCase):
+    """Guards against long requests that delay short urgent ones past their objective.
 
-    Load pattern: requests of 144 ms that are due in 150 ms beside ones of 880 ms.
+    Load pattern: requests of 144 ms with an objective of 150 ms, and ones of 880 ms.
     """
 
     scenarios = [
-        ("queue is short for the urgent", {"mean_s": 0.02, "most": SLOTS * FULL_AT}),
-        ("queue of some requests", {"mean_s": 0.35, "most": SLOTS + 2}),
-        ("no queue", {"mean_s": 5.0, "most": SLOTS + 0.14}),
-        ("slow server", {"mean_s": 0.35, "slowness": 3.0, "most": SLOTS - 1}),
+        (
+            "short queue for urgent requests",
+            {"mean_s": 0.02, "limit": SLOTS * LOAD_LIMIT},
+        ),
+        ("queue of some requests", {"mean_s": 0.35, "limit": SLOTS + 2}),
+        ("no queue", {"mean_s": 5.0, "limit": SLOTS + 0.14}),
+        ("slow server", {"mean_s": 0.35, "slowness": 3.0, "limit": SLOTS - 1}),
     ]
     slowness = 1.0
 
-    def test_load_that_leaves_the_urgent_on_time(self):
-        found = placement(server("s0"))
-        state = found.table.states["s0"]
-        found.times.record_answer_time("defect-report", state, b"17", 0.1, False)
-        found.times.record_answer_time("defect-report", state, b"17", 0.1, False)
+    def test_load_limit_keeps_urgent_requests_on_time(self):
+        chooser = placement(server("s0"))
+        state = chooser.table.states["s0"]
+        chooser.times.record_answer_time("defect-report", state, b"17", 0.1, False)
+        chooser.times.record_answer_time("defect-report", state, b"17", 0.1, False)
         state.service_s = self.mean_s
         state.slowness = self.slowness
-        most = found._most(state, evolve(QUERY, urgent_route=URGENT))
-        self.assertAlmostEqual(self.most, most, delta=0.01)
+        limit = chooser._load_limit(state, evolve(QUERY, urgent_route=URGENT))
+        self.assertAlmostEqual(self.limit, limit, delta=0.01)
 
 
-class LimitsTest(TestWithScenarios, TestCase):
+class UnusableServersTest(TestWithScenarios, TestCase):
     """Guards against requests to servers that must not get any."""
 
     scenarios = [
@@ -201,8 +206,8 @@
         ("another service", {"changes": {"service": "signoff"}}),
         ("evacuated", {"evacuated": ["kingston-a"]}),
         ("not in a home region", {"homes": ("montego",)}),
-        ("cold and sent to just now", {"cold": True}),
-        ("tried before", {"excluded": ["s0"]}),
+        ("cold and just sent a request", {"cold": True}),
+        ("already tried", {"excluded": ["s0"]}),
     ]
     changes = {}
     evacuated = ()
@@ -211,45 +216,45 @@
     cold = False
 
     def test_not_used(self):
-        found = placement(server("s0", **self.changes))
-        found.table.set_evacuated(self.evacuated, {}, 0.0)
+        chooser = placement(server("s0", **self.changes))
+        chooser.table.set_evacuated(self.evacuated, {}, 0.0)
         if self.cold:
-            state = found.table.states["s0"]
+            state = chooser.table.states["s0"]
             state.cold_until = 3.0
             state.pacer.record_send(0.0, 16.0, 7)
         route = evolve(ROUTE, home_regions=self.homes)
         query = evolve(QUERY, route=route, excluded=self.excluded)
-        self.assertIsNone(found.choose(query, 0.0))
+        self.assertIsNone(chooser.choose(query, 0.0))
 
 
 class RegionTest(TestCase):
-    """Guards against a region without servers that refuses everything."""
+    """Guards against refusing all requests of a region without usable servers."""
 
     def test_another_region_takes_over(self):
-        found = placement(server("far", region="montego"))
-        self.assertEqual("far", found.choose(QUERY, 0.0).server.name)
+        chooser = placement(server("far", region="montego"))
+        self.assertEqual("far", chooser.choose(QUERY, 0.0).server.name)
 
-    def test_region_out_of_reach_gets_nothing(self):
+    def test_unreachable_region_gets_no_requests(self):
         """Load pattern: a region is cut off, and its servers fail one by one."""
-        near = [f"s{i}" for i in range(4)]
-        found = placement(*map(server, near), server("far", region="montego"))
-        for name in near:
-            found.table.states[name].record_unreachable(0.0, False)
-        self.assertEqual("far", found.choose(QUERY, 0.1).server.name)
+        local = [f"s{i}" for i in range(4)]
+        chooser = placement(*map(server, local), server("far", region="montego"))
+        for name in local:
+            chooser.table.states[name].record_unreachable(0.0, False)
+        self.assertEqual("far", chooser.choose(QUERY, 0.1).server.name)
         self.assertEqual(
-            {"montego": SLOTS}, capacity_by_region(found.table, "history", 0.1)
+            {"montego": SLOTS}, capacity_by_region(chooser.table, "history", 0.1)
         )
 
-    def test_nothing_is_in_reach(self):
-        """Load pattern: the node itself is cut off, so no server is at fault."""
-        found = placement(server("s0"), server("s1"))
-        for state in found.table.states.values():
+    def test_all_servers_unreachable(self):
+        """Load pattern: the node itself is cut off, while the servers are healthy."""
+        chooser = placement(server("s0"), server("s1"))
+        for state in chooser.table.states.values():
             state.record_unreachable(0.0, False)
-        self.assertIsNotNone(found.choose(QUERY, 0.1))
-
-    def test_an_idle_far_server_helps_a_full_region(self):
-        found = placement(server("near"), server("far", region="montego"))
-        found.table.states["near"].in_flight = SLOTS * 3
-        self.assertEqual("far", found.choose(QUERY, 0.0).server.name)
-        found.table.states["far"].in_flight = SLOTS - 1
-        self.assertIsNone(found.choose(QUERY, 0.0))
+        self.assertIsNotNone(chooser.choose(QUERY, 0.1))
+
+    def test_idle_remote_server_helps_a_full_region(self):
+        chooser = placement(server("near"), server("far", region="montego"))
+        chooser.table.states["near"].in_flight = SLOTS * 3
+        self.assertEqual("far", chooser.choose(QUERY, 0.0).server.name)
+        chooser.table.states["far"].in_flight = SLOTS - 1
+        self.assertIsNone(chooser.choose(QUERY, 0.0))
--- a/ebonybend/steering/tests/test_shared_rates.py
+++ b/ebonybend/steering/tests/test_shared_rates.py
@@ -10,7 +10,7 @@
 
 
 class RetryWindowTest(TestWithScenarios, TestCase):
-    """Guards against more repeated sends than all nodes together may make."""
+    """Guards against more retries than all nodes together may send."""
 
     scenarios = [
         ("no load", {"firsts_per_s": 0}),
@@ -18,10 +18,10 @@
         ("heavy load", {"firsts_per_s": 60}),
     ]
 
-    def test_every_window_is_within_the_bound(self):
+    def test_every_window_is_within_the_limit(self):
         ratio, slack, window_s = 0.2, 56, 10.0
         windows = [RetryWindow(ratio, slack, window_s) for _ in range(NODES)]
-        taken = []
+        retried_at = []
         for step in range(600):
             now = step * 0.05
             for window in windows:
@@ -31,17 +31,18 @@
                 ):
                     window.record_first_send(now)
                 while window.try_acquire(now, NODES):
-                    taken.append(now)
-        most = max(
-            sum(start <= at < start + window_s for at in taken) for start in taken
+                    retried_at.append(now)
+        largest = max(
+            sum(start <= at < start + window_s for at in retried_at)
+            for start in retried_at
         )
-        firsts = self.firsts_per_s * window_s * NODES
-        self.assertLessEqual(most, ratio * firsts + slack)
-        self.assertGreater(most, 0)
+        first_sends = self.firsts_per_s * window_s * NODES
+        self.assertLessEqual(largest, ratio * first_sends + slack)
+        self.assertGreater(largest, 0)
 
 
 class ColdPacerTest(TestCase):
-    """Guards against a cold server that is sent more than it bears."""
+    """Guards against a cold server that gets a higher rate than it can handle."""
 
     def test_rate_of_all_nodes(self):
         rate, factor, slack = 16.0, 1.5, 5.0
@@ -53,8 +54,8 @@
                 if pacer.ready(now):
                     pacer.record_send(now, rate, NODES)
                     sent.append(now)
-        most = max(sum(start <= at < start + 1.0 for at in sent) for start in sent)
-        self.assertLessEqual(most, rate * factor + slack)
+        largest = max(sum(start <= at < start + 1.0 for at in sent) for start in sent)
+        self.assertLessEqual(largest, rate * factor + slack)
 
 
 def route(name, prefix, **parts):
@@ -63,7 +64,7 @@
 
 
 class RouteTableTest(TestWithScenarios, TestCase):
-    """Guards against a request that takes another route than its own."""
+    """Guards against a request that is matched to the wrong route."""
 
     scenarios = [
         ("exact", {"path": "/a/", "found": "a"}),
@@ -83,7 +84,7 @@
 
 
 class PartChooserTest(TestCase):
-    """Guards against parts that get another share than their weight."""
+    """Guards against parts whose traffic differs from their weight."""
 
     def test_shares(self):
         chooser = PartChooser()
@@ -92,20 +93,20 @@
         self.assertEqual(90, chosen.count("first"))
 
 
-class ReturnDetectorTest(TestWithScenarios, TestCase):
-    """Guards against callers that waited and are refused before newcomers.
+class ClientRetryDetectorTest(TestWithScenarios, TestCase):
+    """Guards against refusing clients that already waited rather than new ones.
 
-    Load pattern: most clients wait for 1.2 s, a few are more patient, some come back.
+    Load pattern: most clients wait for 1.2 s, a few for longer, and some retry.
     """
 
     scenarios = [
         ("usual", {"deadline_s": 1.2, "returned": False}),
         ("patient", {"deadline_s": 3.0, "returned": False}),
         ("another common time", {"deadline_s": 0.6, "returned": False}),
-        ("came back", {"deadline_s": 0.937, "returned": True}),
+        ("client retry", {"deadline_s": 0.937, "returned": True}),
     ]
 
-    def test_returned(self):
+    def test_is_client_retry(self):
         detector = ClientRetryDetector()
         for number in range(1000):
             detector.is_client_retry("r", 1.2)
--- a/ebonybend/store/audit_log.py
+++ b/ebonybend/store/audit_log.py
@@ -1,4 +1,4 @@
-"""The audit log in bounded objects of the platform."""
+"""The audit log, stored on the platform as objects of bounded size."""
 
 from collections.abc import Iterable
 
@@ -19,21 +19,21 @@
 MAX_CHUNK_ENTRIES = 500
 # The platform accepts values up to 1 MB.
 MAX_CHUNK_BYTES = 900_000
-# Another control appends at the same time, or an answer is lost.
+# An attempt fails if another control appends at the same time or an answer is lost.
 MAX_ATTEMPTS = 12
 FINAL_FAILURES = frozenset({StoreFailureKind.UNAVAILABLE, StoreFailureKind.REJECTED})
 
 
 @frozen
 class AuditChunk:
-    """The value of an audit object; a full chunk doesn't change any more."""
+    """The value of an audit object; a full chunk never changes."""
 
     entries: tuple[AuditEntry, ...] = ()
 
 
 @frozen
-class _Found:
-    """A chunk with its number and its version, 0 if it doesn't exist."""
+class _VersionedChunk:
+    """A chunk with its number and its version, which is 0 if it doesn't exist."""
 
     number: int
     version: int
@@ -54,25 +54,25 @@
         self.number: int | None = None
 
     async def append(self, entries: Iterable[AuditEntry]) -> Result[None, StoreFailure]:
-        """Append entries; one that a lost answer had written is not repeated."""
-        left = list(entries)
+        """Append entries once each, even if the answer to a write is lost."""
+        remaining = list(entries)
         located = await self._last_number()
         if not isinstance(located, Success):
             return Failure(located.failure())
         number = located.unwrap()
         failure = StoreFailure(StoreFailureKind.CONFLICT, "too many conflicts")
         for _ in range(MAX_ATTEMPTS):
-            # After a conflict or a lost answer the same chunk is read again, also if
-            # it is full by now: the lost write may have filled it.
+            # After a conflict or a lost answer the same chunk is read again, even if it
+            # is full by now, because the lost write may have filled it.
             found = await self._read(number)
             if not isinstance(found, Success):
                 return Failure(found.failure())
             chunk = found.unwrap()
-            left = [entry for entry in left if entry not in chunk.entries]
-            if not left:
+            remaining = [entry for entry in remaining if entry not in chunk.entries]
+            if not remaining:
                 self.number = max(self.number or 0, number)
                 return Success(None)
-            fitting = _fitting(chunk.entries, left)
+            fitting = _fitting(chunk.entries, remaining)
             if not fitting:
                 number += 1
                 continue
@@ -102,14 +102,14 @@
         return Success(tuple(found[:limit]))
 
     async def _write(
-        self, chunk: _Found, entries: list[AuditEntry]
+        self, chunk: _VersionedChunk, entries: list[AuditEntry]
     ) -> Result[int, StoreFailure]:
         value = to_json(AuditChunk((*chunk.entries, *entries)))
         name = chunk_name(chunk.number)
         return await self.store.put(KIND, name, value, chunk.version)
 
     async def _last_number(self) -> Result[int, StoreFailure]:
-        """Return the number of the chunk that was used last."""
+        """Return the number of the chunk that was last used."""
         if self.number is not None:
             return Success(self.number)
         located = await self._locate()
@@ -117,7 +117,7 @@
             self.number = located.unwrap()
         return located
 
-    async def _newest_chunk(self) -> Result[_Found, StoreFailure]:
+    async def _newest_chunk(self) -> Result[_VersionedChunk, StoreFailure]:
         """Return the last chunk, which may not exist yet."""
         located = await self._last_number()
         if not isinstance(located, Success):
@@ -130,7 +130,7 @@
         return found
 
     async def _locate(self) -> Result[int, StoreFailure]:
-        """Find the last chunk in steps that double, then halve."""
+        """Find the last chunk by exponential search, then by binary search."""
         low, step = 0, 1
         growing = True
         while step:
@@ -144,22 +144,22 @@
             step = step * 2 if growing else step // 2
         return Success(low)
 
-    async def _read(self, number: int) -> Result[_Found, StoreFailure]:
+    async def _read(self, number: int) -> Result[_VersionedChunk, StoreFailure]:
         found = await self.store.get(KIND, chunk_name(number))
         if isinstance(found, Success):
             return _decode(number, found.unwrap())
         if found.failure().kind is StoreFailureKind.NOT_FOUND:
-            return Success(_Found(number, 0, ()))
+            return Success(_VersionedChunk(number, 0, ()))
         return Failure(found.failure())
 
 
-def _decode(number: int, stored: StoredObject) -> Result[_Found, StoreFailure]:
+def _decode(number: int, stored: StoredObject) -> Result[_VersionedChunk, StoreFailure]:
     try:
         chunk = from_json(bytes(stored.value), AuditChunk)
     except SteeringError as error:
         message = f"{KIND}/{stored.name} is malformed: {error.message}"
         return Failure(StoreFailure(StoreFailureKind.REJECTED, message))
-    return Success(_Found(number, stored.version, chunk.entries))
+    return Success(_VersionedChunk(number, stored.version, chunk.entries))
 
 
 def _is_full(entries: tuple[AuditEntry, ...]) -> bool:
@@ -173,13 +173,13 @@
 def _fitting(
     present: tuple[AuditEntry, ...], entries: list[AuditEntry]
 ) -> list[AuditEntry]:
-    """Return the first of the entries that still fit into a chunk."""
-    room = MAX_CHUNK_ENTRIES - len(present)
-    left = MAX_CHUNK_BYTES - _size(present)
+    """Return the leading entries that still fit into a chunk."""
+    free_entries = MAX_CHUNK_ENTRIES - len(present)
+    free_bytes = MAX_CHUNK_BYTES - _size(present)
     fitting: list[AuditEntry] = []
-    for entry in entries[: max(room, 0)]:
-        left -= _size((entry,))
-        if left < 0 and (present or fitting):
+    for entry in entries[: max(free_entries, 0)]:
+        free_bytes -= _size((entry,))
+        if free_bytes < 0 and (present or fitting):
             break
         fitting.append(entry)
     return fitting
--- a/ebonybend/store/rules_store.py
+++ b/ebonybend/store/rules_store.py
@@ -1,4 +1,4 @@
-"""The rules object of the platform and how a change is written to it."""
+"""The platform's rules object, and how rule changes are written to it."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -25,7 +25,7 @@
 KIND = "rules"
 NAME = "main"
 RECENT_CHANGES = 20
-# Keeps 20 differences below 100 KB, next to a text of up to 256 KB in 1 MB.
+# Keeps 20 differences below 100 KB, next to a text of up to 256 KB in a 1 MB object.
 MAX_DIFFERENCE_LINES = 20
 MAX_DIFFERENCE_LINE = 200
 # Below the 5 s for which the command-line tool waits for an answer.
@@ -35,7 +35,7 @@
 
 @frozen
 class Change:
-    """An accepted change; it is its own audit entry."""
+    """An accepted change, which is also its own audit entry."""
 
     revision: int
     change_id: str
@@ -43,7 +43,7 @@
     reason: str
     # Time of acceptance, seconds since the epoch.
     at: float
-    # Lines of the difference from the revision before.
+    # Lines of the difference from the previous revision.
     difference: tuple[str, ...] = ()
 
     def audit_entry(self) -> AuditEntry:
@@ -76,7 +76,7 @@
     archived_revision: int = 0
 
     def accepted_revision(self, change_id: str) -> int | None:
-        """Return the revision that a change became, or None if it isn't known."""
+        """Return the revision that contains a change, or None if it isn't known."""
         if self.revision and self.change_id == change_id:
             return self.revision
         matches = (x.revision for x in self.recent if x.change_id == change_id)
@@ -85,7 +85,7 @@
 
 @frozen
 class ProposedChange:
-    """A change that an operator asks for."""
+    """A change that an operator requests."""
 
     change_id: str
     base_revision: int
@@ -116,15 +116,15 @@
 
 
 @frozen
-class _Read:
-    """The rules object and the version that an update is conditional on."""
+class _VersionedRules:
+    """The rules object, and the version on which an update is conditional."""
 
     version: int
     rules: RulesObject
 
 
 class RulesStore:
-    """Write changes conditionally and resolve writes whose answer is lost."""
+    """Write changes conditionally, and resolve writes whose answer was lost."""
 
     def __init__(
         self,
@@ -132,29 +132,29 @@
         audit: AuditLog,
         timers: Timers,
         random: Random,
-        in_force: Callable[[], RulesObject],
+        rules_in_force: Callable[[], RulesObject],
         wall: Callable[[], float] = time,
     ):
         self.store = store
         self.audit = audit
         self.timers = timers
         self.random = random
-        # The newest rules that this process knows; the platform may have lost them.
-        self.in_force = in_force
+        # The newest rules known to this process; the platform may have lost them.
+        self.rules_in_force = rules_in_force
         self.wall = wall
         self.tasks = Tasks(timers)
 
-    async def read(self) -> Result[_Read, StoreFailure]:
+    async def read(self) -> Result[_VersionedRules, StoreFailure]:
         """Return the rules object, empty if there is none."""
         found = await self.store.get(KIND, NAME)
         if isinstance(found, Success):
             return self._decode(found.unwrap())
         if found.failure().kind is StoreFailureKind.NOT_FOUND:
-            return Success(self._newest(_Read(0, RulesObject())))
+            return Success(self._newest_rules(_VersionedRules(0, RulesObject())))
         return Failure(found.failure())
 
     async def apply(self, change: ProposedChange) -> Result[RulesObject, ApplyFailure]:
-        """Write a change; return the rules that hold it, or why it isn't accepted."""
+        """Write a change; return the rules that include it, or the failure."""
         deadline = self.timers.seconds() + APPLY_TIME_S
         backoff = Backoff(self.random)
         may_be_written = False
@@ -163,9 +163,9 @@
             read = await self.read()
             if isinstance(read, Success):
                 found = read.unwrap()
-                settled = _settled(found.rules, change)
-                if settled is not None:
-                    return settled
+                outcome = _known_outcome(found.rules, change)
+                if outcome is not None:
+                    return outcome
                 written = await self._write(found, change)
                 if isinstance(written, Success):
                     return Success(written.unwrap())
@@ -175,20 +175,20 @@
             if failure.kind is StoreFailureKind.REJECTED:
                 return Failure(ApplyFailure(ApplyFailureKind.REJECTED, failure.message))
             if isinstance(read, Success):
-                lost = failure.kind is StoreFailureKind.ANSWER_LOST
-                may_be_written = may_be_written or lost
+                answer_lost = failure.kind is StoreFailureKind.ANSWER_LOST
+                may_be_written = may_be_written or answer_lost
             if failure.kind is not StoreFailureKind.CONFLICT:
                 delay = backoff.next()
                 if self.timers.seconds() + delay > deadline:
-                    return Failure(_given_up(may_be_written, failure))
+                    return Failure(_deadline_failure(may_be_written, failure))
                 await self.tasks.sleep(delay)
 
     async def _write(
-        self, found: _Read, change: ProposedChange
+        self, found: _VersionedRules, change: ProposedChange
     ) -> Result[RulesObject, StoreFailure]:
         archived = await self._archive(found.rules)
         if not isinstance(archived, Success):
-            # The rules themselves were not touched.
+            # The rules object itself was not written.
             return Failure(
                 evolve(archived.failure(), kind=StoreFailureKind.UNAVAILABLE)
             )
@@ -230,31 +230,31 @@
             rules.archived_revision,
         )
 
-    def _decode(self, stored: StoredObject) -> Result[_Read, StoreFailure]:
+    def _decode(self, stored: StoredObject) -> Result[_VersionedRules, StoreFailure]:
         try:
             rules = from_json(bytes(stored.value), RulesObject)
         except SteeringError as error:
             message = f"{KIND}/{NAME} is malformed: {error.message}"
             return Failure(StoreFailure(StoreFailureKind.REJECTED, message))
-        return Success(self._newest(_Read(stored.version, rules)))
+        return Success(self._newest_rules(_VersionedRules(stored.version, rules)))
 
-    def _newest(self, read: _Read) -> _Read:
-        """Continue from the rules in force if the platform holds older ones.
+    def _newest_rules(self, read: _VersionedRules) -> _VersionedRules:
+        """Use the rules in force if those of the platform are older.
 
-        A platform that was restored from a copy must not make revisions go down.
+        Revisions must not go down when the platform is restored from a backup.
         """
-        known = self.in_force()
+        known = self.rules_in_force()
         if known.revision <= read.rules.revision:
             return read
         recent, archived = read.rules.recent, read.rules.archived_revision
         rules = evolve(known, recent=recent, archived_revision=archived)
-        return _Read(read.version, rules)
+        return _VersionedRules(read.version, rules)
 
 
-def _settled(
+def _known_outcome(
     rules: RulesObject, change: ProposedChange
 ) -> Result[RulesObject, ApplyFailure] | None:
-    """Return the outcome if the object alone decides it, or None."""
+    """Return the outcome of a change if the rules alone determine it, or None."""
     if rules.accepted_revision(change.change_id) is not None:
         return Success(rules)
     if rules.revision == change.base_revision:
@@ -266,15 +266,15 @@
     return Failure(ApplyFailure(ApplyFailureKind.CONFLICT, message, rules))
 
 
-def _given_up(may_be_written: bool, failure: StoreFailure) -> ApplyFailure:
+def _deadline_failure(may_be_written: bool, failure: StoreFailure) -> ApplyFailure:
     if may_be_written:
         return ApplyFailure(ApplyFailureKind.UNRESOLVED, failure.message)
     return ApplyFailure(ApplyFailureKind.UNAVAILABLE, failure.message)
 
 
 def bounded_difference(old_text: str, new_text: str) -> tuple[str, ...]:
-    """Return the difference of two texts for people, cut to a bounded size."""
+    """Return the difference of two texts for display, cut to a bounded size."""
     lines = diff_rules(old_text, new_text)
-    kept = tuple(line[:MAX_DIFFERENCE_LINE] for line in lines[:MAX_DIFFERENCE_LINES])
-    left = len(lines) - len(kept)
-    return (*kept, f"and {left} more") if left else kept
+    shown = tuple(line[:MAX_DIFFERENCE_LINE] for line in lines[:MAX_DIFFERENCE_LINES])
+    omitted = len(lines) - len(shown)
+    return (*shown, f"and {omitted} more") if omitted else shown
--- a/ebonybend/store/tests/memory_store.py
+++ b/ebonybend/store/tests/memory_store.py
@@ -1,4 +1,4 @@
-"""An object store in memory with faults, for tests."""
+"""An in-memory object store with fault injection, for tests."""
 
 from attrs import define, evolve, field
 from msgspec import Raw
@@ -19,22 +19,22 @@
 
 @define
 class MemoryStore:
-    """The objects that all callers share."""
+    """The objects of a store that all clients share."""
 
     clock: Clock
     version: int = 0
     objects: dict[tuple[str, str], StoredObject] = field(factory=dict)
-    waiting: list[Deferred] = field(factory=list)
+    watchers: list[Deferred] = field(factory=list)
     writes: list[tuple[str, str]] = field(factory=list)
 
     def write(self, kind, name, value, deleted=False):
-        """Write without a condition; return the new version."""
+        """Write unconditionally; return the new version."""
         self.version += 1
         stored = StoredObject(name, self.version, Raw(value), deleted)
         self.objects[kind, name] = stored
         self.writes.append((kind, name))
-        waiting, self.waiting = self.waiting, []
-        for watcher in waiting:
+        watchers, self.watchers = self.watchers, []
+        for watcher in watchers:
             watcher.callback(None)
         return self.version
 
@@ -43,25 +43,25 @@
         items = (x for key, x in self.objects.items() if key[0] == kind)
         return tuple(x for x in items if x.version > since)
 
-    def changed(self):
+    def next_change(self):
         """Return a Deferred that fires at the next change."""
-        watcher = Deferred(lambda x: self.waiting.remove(x))
-        self.waiting.append(watcher)
+        watcher = Deferred(lambda x: self.watchers.remove(x))
+        self.watchers.append(watcher)
         return watcher
 
 
 @define
 class StoreClient:
-    """One caller's view of the store, with its own faults."""
+    """One client's access to the store, with its own faults."""
 
     store: MemoryStore
-    # Calls get no answer before the time-out.
+    # Calls end without an answer, at the timeout.
     down: bool = False
     # The next writes take effect without an answer.
     lose_answers: int = 0
     # The next writes have no effect and no answer.
     lose_requests: int = 0
-    # The next writes take effect this much later, without an answer.
+    # The next write takes effect this much later, without an answer.
     delay_writes_s: float = 0.0
     calls: int = 0
 
@@ -109,10 +109,10 @@
         clock = self.store.clock
         deadline = clock.seconds() + timeout_ms / 1000
         while not self.store.changes(kind, since) and clock.seconds() < deadline:
-            changed = self.store.changed()
-            timer = clock.callLater(deadline - clock.seconds(), changed.cancel)
+            next_change = self.store.next_change()
+            timer = clock.callLater(deadline - clock.seconds(), next_change.cancel)
             try:
-                await changed
+                await next_change
             except CancelledError:
                 break
             finally:
--- a/ebonybend/store/tests/test_rules_store.py
+++ b/ebonybend/store/tests/test_rules_store.py
@@ -29,14 +29,19 @@
         super().setUp()
         self.clock = Clock()
         self.memory = MemoryStore(self.clock)
-        self.in_force = RulesObject()
+        self.rules_in_force = RulesObject()
         self.client = StoreClient(self.memory)
         self.store = self.rules_store(self.client)
 
     def rules_store(self, client):
         audit = AuditLog(client)
         return RulesStore(
-            client, audit, self.clock, Random(1), lambda: self.in_force, lambda: 5.0
+            client,
+            audit,
+            self.clock,
+            Random(1),
+            lambda: self.rules_in_force,
+            lambda: 5.0,
         )
 
     def apply(self, change, store=None):
@@ -83,7 +88,7 @@
 
 
 class ConflictTest(StoreCase):
-    """Guards against two simultaneous edits of which both or none win."""
+    """Guards against two simultaneous edits that are both accepted, or both refused."""
 
     def test_exactly_one_wins(self):
         other = self.rules_store(StoreClient(self.memory))
@@ -121,7 +126,7 @@
 
 
 class OutageTest(StoreCase):
-    """Guards against a wrong statement of what happened during an outage."""
+    """Guards against a wrong report of whether a change was written in an outage."""
 
     def test_down_from_the_start_wrote_nothing(self):
         self.client.down = True
@@ -143,14 +148,14 @@
 
     def test_continues_from_the_revision_in_force(self):
         self.memory.write("rules", "main", to_json(RulesObject(3, "old", "")))
-        self.in_force = RulesObject(7, "newest", "", "Eva")
+        self.rules_in_force = RulesObject(7, "newest", "", "Eva")
         conflict = self.apply(proposed(3)).failure()
         self.assertEqual(7, conflict.current.revision)
         self.assertEqual(8, self.apply(proposed(7)).unwrap().revision)
 
 
 class AuditTest(StoreCase):
-    """Guards against a change that leaves the object without being in the log."""
+    """Guards against a change that leaves the rules object but isn't in the log."""
 
     def changes(self):
         logged = result_of(self.clock, self.store.audit.newest(1000)).unwrap()
--- a/ebonybend/world/__init__.py
+++ b/ebonybend/world/__init__.py
@@ -1,4 +1,4 @@
-"""The machines, regions, links and contracts that the system steers between."""
+"""The data model: servers, instances, regions, links, routes and contracts."""
 
 from ebonybend.world.backend_server import BackendServer, ServerState
 from ebonybend.world.contract import Contract, Service
