--- a/ebonybend/tool/__init__.py
+++ b/ebonybend/tool/__init__.py
@@ -1,4 +1,4 @@
-"""The verbs of the command-line tool."""
+"""The verbs (subcommands) of the command-line tool `ebonybend`."""
 
 from ebonybend.tool.admin_client import AdminClient
 from ebonybend.tool.context import Context, VerbResult
--- a/ebonybend/tool/admin_client.py
+++ b/ebonybend/tool/admin_client.py
@@ -1,4 +1,4 @@
-"""A synchronous client of the administration API that tries several controls."""
+"""A synchronous client of the administration API with failover between controls."""
 
 from collections.abc import Mapping, Sequence
 from contextlib import suppress
@@ -28,10 +28,10 @@
 
 @frozen
 class Change:
-    """A change of the rules text; a repeated try has the same change id."""
+    """A change of the rules text; a retry has the same change id."""
 
     text: str
-    # Revision that the text was made from.
+    # Revision that the text was edited from.
     base: int
     author: str
     reason: str
@@ -45,20 +45,20 @@
 
 
 @frozen
-class _Refusal:
-    """The body of a refusal."""
+class _ErrorBody:
+    """The body of an error answer."""
 
     kind: str = ""
     outcome: str = ""
     message: str = ""
 
 
-class _NotSent(Exception):
-    """No connection was made, so the call had no effect."""
+class _ConnectError(Exception):
+    """The connection failed, so the request had no effect."""
 
 
 class _AnswerLost(Exception):
-    """The call may have had its effect."""
+    """The request was sent and may have taken effect."""
 
 
 @frozen
@@ -66,34 +66,34 @@
     """Call the administration API of the first control that answers."""
 
     addresses: Sequence[str]
-    # Bounds connecting and each wait for bytes.
+    # Limit for connecting and for each socket read or write, not for a whole request.
     timeout_s: float = 5.0
 
-    def rules(self) -> RulesAnswer:
+    def get_rules(self) -> RulesAnswer:
         """Return the rules that were accepted last."""
         return self._get("/v1/rules", RulesAnswer)
 
-    def status(self) -> StatusAnswer:
-        """Return the state of the system."""
+    def get_status(self) -> StatusAnswer:
+        """Return the state of the system as the control that answers knows it."""
         return self._get("/v1/status", StatusAnswer)
 
-    def each_status(self) -> tuple[StatusAnswer, ...]:
+    def get_statuses(self) -> tuple[StatusAnswer, ...]:
         """Return the status of each control that answers; raise if none does."""
-        found = []
+        statuses = []
         for address in self.addresses:
             with suppress(SteeringError):
-                found.append(evolve(self, addresses=(address,)).status())
-        return tuple(found) or (self.status(),)
+                statuses.append(evolve(self, addresses=(address,)).get_status())
+        return tuple(statuses) or (self.get_status(),)
 
-    def history(self, limit: int) -> HistoryAnswer:
+    def get_history(self, limit: int) -> HistoryAnswer:
         """Return the newest audit entries."""
         return self._get(f"/v1/history?limit={limit}", HistoryAnswer)
 
-    def where(self, **query: str | None) -> WhereAnswer:
-        """Return why a look-up or a request goes where it goes."""
-        chosen = {key: value for key, value in query.items() if value is not None}
+    def get_where(self, **query: str | None) -> WhereAnswer:
+        """Return how a lookup or a request is routed, and why."""
+        parameters = {key: value for key, value in query.items() if value is not None}
         return self._get(
-            f"/v1/where?{urlencode(chosen, errors='replace')}", WhereAnswer
+            f"/v1/where?{urlencode(parameters, errors='replace')}", WhereAnswer
         )
 
     def put_rules(
@@ -101,8 +101,8 @@
     ) -> Result[ApplyAnswer, ConflictAnswer | CheckAnswer]:
         """Apply a change, or return why it was refused.
 
-        Raises OUTCOME_UNKNOWN if the change may have been accepted. It's then safe to
-        call again with the same change.
+        Raises OUTCOME_UNKNOWN if the change may have been accepted; a call with the
+        same change is then safe, since the change id makes it idempotent.
         """
         headers = {
             "If-Match": f'"{change.base}"',
@@ -121,38 +121,40 @@
             check = _decode(answer, CheckAnswer)
             if check.errors:
                 return Failure(check)
-        raise _error(answer)
+        raise _steering_error(answer)
 
-    def _get(self, path: str, kind: type[T]) -> T:
+    def _get(self, path: str, answer_type: type[T]) -> T:
         answer = self._first_answer("GET", path, {}, b"")
         if answer.status != 200:
-            raise _error(answer)
-        return _decode(answer, kind)
+            raise _steering_error(answer)
+        return _decode(answer, answer_type)
 
     def _first_answer(
         self, method: str, path: str, headers: Mapping[str, str], body: bytes
     ) -> _Answer:
-        """Return the first answer below 500; raise if no control gives one."""
-        unknown = False
-        problems = []
+        """Return the first answer with a status below 500; raise if there is none."""
+        outcome_unknown = False
+        failures = []
         for address in self.addresses:
             try:
-                answer = self._exchange(address, method, path, headers, body)
-            except _NotSent as error:
-                problems.append(f"{address}: {error}")
+                answer = self._send_request(address, method, path, headers, body)
+            except _ConnectError as error:
+                failures.append(f"{address}: {error}")
                 continue
             except _AnswerLost as error:
-                unknown = True
-                problems.append(f"{address}: {error}")
+                outcome_unknown = True
+                failures.append(f"{address}: {error}")
                 continue
             if answer.status < 500:
                 return answer
-            refusal = _refusal(answer)
-            unknown = unknown or refusal.outcome != Outcome.NOT_RUN.value
-            problems.append(f"{address}: {refusal.message or refusal.kind}")
-        raise _no_answer(unknown and method == "PUT", problems)
-
-    def _exchange(
+            error_body = _error_body(answer)
+            outcome_unknown = (
+                outcome_unknown or error_body.outcome != Outcome.NOT_RUN.value
+            )
+            failures.append(f"{address}: {error_body.message or error_body.kind}")
+        raise _no_answer_error(outcome_unknown and method == "PUT", failures)
+
+    def _send_request(
         self,
         address: str,
         method: str,
@@ -165,7 +167,7 @@
         try:
             connection.connect()
         except OSError as error:
-            raise _NotSent(error.strerror or str(error)) from error
+            raise _ConnectError(error.strerror or str(error)) from error
         try:
             connection.request(method, path, body or None, dict(headers))
             response = connection.getresponse()
@@ -176,39 +178,39 @@
             raise _AnswerLost(f"no whole answer: {message}") from error
         finally:
             connection.close()
-        # read with a size returns a truncated body without an error.
+        # HTTPResponse.read with a size returns a truncated body without an error.
         if length is not None and len(data) != int(length):
             raise _AnswerLost(f"answer has {len(data)} of {length} bytes")
         return _Answer(response.status, data)
 
 
 def _decode(
-    answer: _Answer, kind: type[T], error_kind: ErrorKind = ErrorKind.INTERNAL
+    answer: _Answer, answer_type: type[T], error_kind: ErrorKind = ErrorKind.INTERNAL
 ) -> T:
     try:
-        return from_json(answer.body, kind)
+        return from_json(answer.body, answer_type)
     except SteeringError as error:
         message = f"the control's answer is not understood: {error.message}"
         raise SteeringError(error_kind, message) from error
 
 
-def _refusal(answer: _Answer) -> _Refusal:
+def _error_body(answer: _Answer) -> _ErrorBody:
     try:
-        return from_json(answer.body, _Refusal)
+        return from_json(answer.body, _ErrorBody)
     except SteeringError:
-        return _Refusal(message=f"HTTP status {answer.status}")
+        return _ErrorBody(message=f"HTTP status {answer.status}")
 
 
-def _error(answer: _Answer) -> SteeringError:
-    """Return the error that a control answered."""
-    refusal = _refusal(answer)
-    known = refusal.kind in {kind.value for kind in ErrorKind}
-    kind = ErrorKind(refusal.kind) if known else ErrorKind.INTERNAL
-    return SteeringError(kind, refusal.message or f"HTTP status {answer.status}")
+def _steering_error(answer: _Answer) -> SteeringError:
+    """Return an error answer as a SteeringError."""
+    error_body = _error_body(answer)
+    known = error_body.kind in {kind.value for kind in ErrorKind}
+    kind = ErrorKind(error_body.kind) if known else ErrorKind.INTERNAL
+    return SteeringError(kind, error_body.message or f"HTTP status {answer.status}")
 
 
-def _no_answer(unknown: bool, problems: list[str]) -> SteeringError:
-    message = "; ".join(problems)
-    if unknown:
+def _no_answer_error(outcome_unknown: bool, failures: list[str]) -> SteeringError:
+    message = "; ".join(failures)
+    if outcome_unknown:
         return SteeringError(ErrorKind.OUTCOME_UNKNOWN, message)
     return SteeringError(ErrorKind.CONTROL_UNREACHABLE, message)
--- a/ebonybend/tool/confirm.py
+++ b/ebonybend/tool/confirm.py
@@ -9,90 +9,101 @@
 
 POLL_INTERVAL_S = 0.25
 # Long enough for a control in another region to answer.
-SHORTEST_TIMEOUT_S = 0.5
+MIN_TIMEOUT_S = 0.5
 
 
 @frozen
 class Confirmation:
-    """Which instances have a revision in force."""
+    """The instances that have a revision in force, and those that do not."""
 
     revision: int
     in_force_everywhere: bool = False
     in_force: tuple[str, ...] = ()
     behind: tuple[str, ...] = ()
     unreachable: tuple[str, ...] = ()
-    # Why nothing is known about the state, or empty.
+    # Why the state is unknown, or empty.
     problem: str = ""
 
 
-def classify(status: StatusAnswer, revision: int) -> Confirmation:
-    """Return which listed instances confirm a revision.
+def classify_instances(status: StatusAnswer, revision: int) -> Confirmation:
+    """Sort the instances into in force, behind and unreachable for a revision.
 
-    A later revision also counts: revisions never go back, so the change was in force.
+    A later revision also confirms it: revisions never decrease, so it was in force.
     """
     reported = {i.name: i.rules_revision for i in status.instances}
-    waiting = _waiting(status, revision)
-    missing = {name for name in waiting if reported.get(name, 0) < revision}
+    candidates = _possibly_behind(status, revision)
+    unconfirmed = {name for name in candidates if reported.get(name, 0) < revision}
     reachable = {i.name for i in status.instances if i.reachable}
-    everywhere = status.in_force_everywhere or bool(waiting)
+    instances_known = status.in_force_everywhere or bool(candidates)
     return Confirmation(
         revision,
-        everywhere and not missing and status.revision >= revision,
-        tuple(sorted(x for x in reported if reported[x] >= revision)),
-        tuple(sorted(missing & reachable)),
-        tuple(sorted(missing - reachable)),
-        "" if everywhere else "the control knows no list of instances",
+        instances_known and not unconfirmed and status.revision >= revision,
+        tuple(
+            sorted(instance for instance in reported if reported[instance] >= revision)
+        ),
+        tuple(sorted(unconfirmed & reachable)),
+        tuple(sorted(unconfirmed - reachable)),
+        "" if instances_known else "the control knows no list of instances",
     )
 
 
-def _waiting(status: StatusAnswer, revision: int) -> tuple[str, ...]:
-    """Return the instances that may not have a revision in force."""
+def _possibly_behind(status: StatusAnswer, revision: int) -> tuple[str, ...]:
+    """Return the names of the instances that may not have a revision in force."""
     if status.revision >= revision:
-        # Instances that are planned but not listed are not waited for.
+        # Excludes instances that are planned but not listed by the platform.
         return status.waiting_for
-    # The control hasn't seen the revision, so it doesn't know who lacks it.
+    # The control lacks the revision, so its waiting_for refers to an older one.
     return tuple(instance.name for instance in status.instances)
 
 
-def wait_in_force(context: Context, revision: int) -> Confirmation:
-    """Ask until every instance confirms the revision or the waiting time is over."""
+def wait_until_in_force(context: Context, revision: int) -> Confirmation:
+    """Poll until every instance confirms the revision or --wait has passed."""
     deadline = context.clock.monotonic() + context.options.wait
     while True:
-        left = deadline - context.clock.monotonic()
+        remaining_s = deadline - context.clock.monotonic()
         try:
-            found = classify(_client(context, left).status(), revision)
+            confirmation = classify_instances(
+                _client_with_timeout(context, remaining_s).get_status(), revision
+            )
         except SteeringError as error:
-            found = Confirmation(revision, problem=error.message)
-        if found.in_force_everywhere or context.clock.monotonic() >= deadline:
-            return found
+            confirmation = Confirmation(revision, problem=error.message)
+        if confirmation.in_force_everywhere or context.clock.monotonic() >= deadline:
+            return confirmation
         context.sleep(POLL_INTERVAL_S)
 
 
-def _client(context: Context, left_s: float) -> AdminClient:
-    """Return a client whose calls don't take much longer than the time left."""
+def _client_with_timeout(context: Context, remaining_s: float) -> AdminClient:
+    """Return a client whose timeout is at most the remaining time or MIN_TIMEOUT_S."""
     client = context.client
-    timeout_s = min(client.timeout_s, max(left_s, SHORTEST_TIMEOUT_S))
+    timeout_s = min(client.timeout_s, max(remaining_s, MIN_TIMEOUT_S))
     return evolve(client, timeout_s=timeout_s)
 
 
-def confirmation_lines(found: Confirmation) -> tuple[str, ...]:
-    """Return the state of a revision for people."""
-    total = len(found.in_force) + len(found.behind) + len(found.unreachable)
-    if found.in_force_everywhere:
+def confirmation_lines(confirmation: Confirmation) -> tuple[str, ...]:
+    """Return a confirmation as lines of output."""
+    total = (
+        len(confirmation.in_force)
+        + len(confirmation.behind)
+        + len(confirmation.unreachable)
+    )
+    if confirmation.in_force_everywhere:
         return (
-            f"revision {found.revision} is in force everywhere ({total} of "
+            f"revision {confirmation.revision} is in force everywhere ({total} of "
             f"{total} instances)",
         )
-    if found.problem:
-        return (f"revision {found.revision} is not confirmed: {found.problem}",)
+    if confirmation.problem:
+        return (
+            f"revision {confirmation.revision} is not confirmed: "
+            f"{confirmation.problem}",
+        )
     lines = [
-        f"revision {found.revision} is NOT in force everywhere "
-        f"({len(found.in_force)} of {total} instances)"
+        f"revision {confirmation.revision} is NOT in force everywhere "
+        f"({len(confirmation.in_force)} of {total} instances)"
     ]
-    if found.in_force:
-        lines.append(f"  in force:    {', '.join(found.in_force)}")
-    if found.behind:
-        lines.append(f"  behind:      {', '.join(found.behind)}")
-    if found.unreachable:
-        lines.append(f"  unreachable: {', '.join(found.unreachable)}")
+    if confirmation.in_force:
+        lines.append(f"  in force:    {', '.join(confirmation.in_force)}")
+    if confirmation.behind:
+        lines.append(f"  behind:      {', '.join(confirmation.behind)}")
+    if confirmation.unreachable:
+        lines.append(f"  unreachable: {', '.join(confirmation.unreachable)}")
     return tuple(lines)
--- a/ebonybend/tool/context.py
+++ b/ebonybend/tool/context.py
@@ -1,4 +1,4 @@
-"""What a verb is given, and what it gives back."""
+"""The input and the result of a verb."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,6 +9,7 @@
 from ebonybend.tool.admin_client import AdminClient
 from ebonybend.tool.options import Options
 
+# Exit statuses of the tool.
 DONE = 0
 REFUSED = 1
 UNREACHABLE_OR_USAGE = 2
@@ -16,14 +17,14 @@
 
 @frozen
 class Context:
-    """The options of a run and everything with which a verb has an effect."""
+    """The options of a run and the functions through which a verb does I/O."""
 
     options: Options
     client: AdminClient
     clock: Clock
     sleep: Callable[[float], None]
     new_change_id: Callable[[], str]
-    # Tell a person what was done so far, before the verb ends.
+    # Prints a line about progress while the verb runs.
     progress: Callable[[str], None]
     read_file: Callable[[str], str]
 
@@ -35,7 +36,7 @@
 
 @frozen
 class VerbResult:
-    """The exit status, the lines for people and the value for programs."""
+    """The exit status, the text output (lines) and the JSON output (value)."""
 
     exit_status: int
     lines: tuple[str, ...]
--- a/ebonybend/tool/files.py
+++ b/ebonybend/tool/files.py
@@ -1,4 +1,4 @@
-"""Read the files that operators name."""
+"""Read rules files and other files given by operators."""
 
 import sys
 from pathlib import Path
@@ -15,14 +15,14 @@
     """A rules text without the header line that `show` writes."""
 
     text: str
-    # Revision named by the header, or None without one.
+    # Revision in the header line, or None without one.
     revision: int | None
-    # Lines before the text.
+    # Number of lines removed before the text.
     header_lines: int
 
 
 def read_text(name: str) -> str:
-    """Return a file's text, or standard input's for "-"; raise SteeringError."""
+    """Return a file's text, or that of stdin for "-"; raise SteeringError on error."""
     try:
         data = sys.stdin.buffer.read() if name == "-" else Path(name).read_bytes()
     except OSError as error:
@@ -35,14 +35,14 @@
 
 
 def split_header(text: str) -> RulesFile:
-    """Return the text and the revision of its header line."""
-    first, _, rest = text.removeprefix("\ufeff").partition("\n")
-    match = REVISION_HEADER.fullmatch(first.strip())
+    """Split a rules text from the header line that states its revision."""
+    first_line, _, rest = text.removeprefix("\ufeff").partition("\n")
+    match = REVISION_HEADER.fullmatch(first_line.strip())
     if match is None:
         return RulesFile(text, None, 0)
     return RulesFile(rest, int(match[1]), 1)
 
 
 def add_header(text: str, revision: int) -> str:
-    """Return the text below a header line that names its revision."""
+    """Return the text below a header line that states its revision."""
     return f"# revision: {revision}\n{text}"
--- a/ebonybend/tool/options.py
+++ b/ebonybend/tool/options.py
@@ -10,8 +10,8 @@
 from ebonybend.errors import ErrorKind, SteeringError, bad_setting
 from ebonybend.settings import apply_environment
 
-# The environment of a daemon names its own instance in EBONYBEND_INSTANCE, so these
-# flags are read from the command line only.
+# Read from the command line only: in a daemon's environment, EBONYBEND_INSTANCE is the
+# name of the daemon's own instance.
 COMMAND_LINE_ONLY = ("instance", "backend", "help")
 COMMON_FLAGS = ("admin", "json", "timeout_ms", "help")
 _CHANGE_ID = re.compile(r"[A-Za-z0-9._-]{1,64}")
@@ -19,11 +19,11 @@
 
 @frozen(kw_only=True)
 class Options:
-    """The checked options of one run."""
+    """The validated options of one run."""
 
     verb: str | None
     operands: tuple[str, ...]
-    # Names of the flags that the command line gives.
+    # Names of the flags given on the command line.
     given: frozenset[str]
     admin: tuple[str, ...]
     json: bool
@@ -51,82 +51,90 @@
 
 def define_flags(values: flags.FlagValues) -> None:
     """Define the flags of all verbs."""
-    define = {"flag_values": values}
-    _define_common_flags(define)
-    flags.DEFINE_string("author", None, "Who asks for the change.", **define)
-    flags.DEFINE_string("why", None, "Reason of the change.", **define)
+    flag_kwargs = {"flag_values": values}
+    _define_common_flags(flag_kwargs)
+    flags.DEFINE_string("author", None, "Who asks for the change.", **flag_kwargs)
+    flags.DEFINE_string("why", None, "Reason of the change.", **flag_kwargs)
     flags.DEFINE_string(
         "until",
         None,
         "End of the rule: a UTC time such as 2026-12-31T00:00:00Z, or a time from "
         "now such as 30m, 2h or 3d.",
-        **define,
+        **flag_kwargs,
     )
     flags.DEFINE_integer(
         "base",
         None,
         "Revision that the file was made from (default: its first line).",
-        **define,
+        **flag_kwargs,
     )
     flags.DEFINE_string(
         "change_id",
         None,
         "Id of an earlier try of the same change whose outcome is unknown.",
-        **define,
+        **flag_kwargs,
     )
     flags.DEFINE_float(
         "wait",
         10.0,
         "Seconds to wait until the change is in force everywhere.",
-        **define,
+        **flag_kwargs,
     )
     flags.DEFINE_string(
-        "deployment", None, "JSON file of the deployment to check against.", **define
+        "deployment",
+        None,
+        "JSON file of the deployment to check against.",
+        **flag_kwargs,
     )
-    flags.DEFINE_boolean("instance", False, "NAME is an entry instance.", **define)
-    flags.DEFINE_boolean("backend", False, "NAME is a backend server.", **define)
-    flags.DEFINE_string("client", None, "IP address of a caller.", **define)
-    flags.DEFINE_string("service", None, "Name of a service.", **define)
-    flags.DEFINE_string("method", None, "HTTP method (default: GET).", **define)
-    flags.DEFINE_integer("limit", 20, "Number of entries to show.", **define)
+    flags.DEFINE_boolean("instance", False, "NAME is an entry instance.", **flag_kwargs)
+    flags.DEFINE_boolean("backend", False, "NAME is a backend server.", **flag_kwargs)
+    flags.DEFINE_string("client", None, "IP address of a caller.", **flag_kwargs)
+    flags.DEFINE_string("service", None, "Name of a service.", **flag_kwargs)
+    flags.DEFINE_string("method", None, "HTTP method (default: GET).", **flag_kwargs)
+    flags.DEFINE_integer("limit", 20, "Number of entries to show.", **flag_kwargs)
 
 
-def _define_common_flags(define: dict[str, flags.FlagValues]) -> None:
+def _define_common_flags(flag_kwargs: dict[str, flags.FlagValues]) -> None:
     flags.DEFINE_list(
         "admin",
         ["127.0.0.1:7400"],
         "Addresses of administration APIs; the next is tried when one can't be "
         "reached.",
-        **define,
+        **flag_kwargs,
     )
-    flags.DEFINE_boolean("json", False, "Write JSON for programs.", **define)
-    flags.DEFINE_boolean("help", False, "Show help and exit.", **define)
+    flags.DEFINE_boolean("json", False, "Write JSON for programs.", **flag_kwargs)
+    flags.DEFINE_boolean("help", False, "Show help and exit.", **flag_kwargs)
     flags.DEFINE_integer(
-        "timeout_ms", 5000, "Longest time for one answer of a control.", **define
+        "timeout_ms", 5000, "Longest time for one answer of a control.", **flag_kwargs
     )
 
 
 def parse_options(
     arguments: Sequence[str], environment: Mapping[str, str]
 ) -> tuple[Options, flags.FlagValues]:
-    """Return checked options and the flags; raise BAD_SETTING naming the fault."""
+    """Return validated options and their flags; raise BAD_SETTING if one is invalid."""
     values = flags.FlagValues()
     define_flags(values)
     values.set_gnu_getopt(True)
-    hidden = {f"EBONYBEND_{name.upper()}" for name in COMMAND_LINE_ONLY}
-    apply_environment(values, {k: v for k, v in environment.items() if k not in hidden})
+    ignored = {f"EBONYBEND_{name.upper()}" for name in COMMAND_LINE_ONLY}
+    apply_environment(
+        values, {k: v for k, v in environment.items() if k not in ignored}
+    )
+    # Flags from the environment do not count as given.
     for name in values:
         values[name].present = 0
     try:
-        words = values(["ebonybend", *arguments])[1:]
+        positional = values(["ebonybend", *arguments])[1:]
     except flags.Error as error:
         raise usage_error(str(error)) from error
     _check(values)
     given = frozenset(name for name in values if values[name].present)
-    chosen = {name: values[name].value for name in values}
-    chosen["admin"] = tuple(chosen["admin"])
-    verb = words[0] if words else None
-    options = Options(verb=verb, operands=tuple(words[1:]), given=given, **chosen)
+    option_values = {name: values[name].value for name in values}
+    option_values["admin"] = tuple(option_values["admin"])
+    verb = positional[0] if positional else None
+    options = Options(
+        verb=verb, operands=tuple(positional[1:]), given=given, **option_values
+    )
     return options, values
 
 
--- a/ebonybend/tool/rules_verbs.py
+++ b/ebonybend/tool/rules_verbs.py
@@ -13,10 +13,10 @@
 from ebonybend.tool.files import RulesFile, add_header, split_header
 from ebonybend.tool.options import usage_error
 from ebonybend.tool.submit import (
-    accepted,
+    accepted_result,
     error_lines,
-    refused,
-    required_author,
+    refused_result,
+    require_author_and_reason,
     submit,
 )
 from ebonybend.world import Deployment
@@ -24,7 +24,7 @@
 
 @frozen
 class CheckResult:
-    """What is wrong with a file."""
+    """The number of rules in a file and its errors."""
 
     file: str
     rules: int
@@ -44,65 +44,65 @@
     """Check a rules file without a connection."""
     name = context.operand
     file = split_header(context.read_file(name))
-    count, errors = _file_errors(context, file)
-    value = CheckResult(name, count, errors)
+    rule_count, errors = _file_errors(context, file)
+    value = CheckResult(name, rule_count, errors)
     if errors:
         return VerbResult(REFUSED, error_lines(name, errors), value)
-    return VerbResult(DONE, (f"{name}: {count} rules, no errors",), value)
+    return VerbResult(DONE, (f"{name}: {rule_count} rules, no errors",), value)
 
 
 def _file_errors(
     context: Context, file: RulesFile
 ) -> tuple[int, tuple[RuleError, ...]]:
-    """Return the number of rules and the errors, with lines as in the file."""
+    """Return the number of rules and the errors, with the line numbers of the file."""
     parsed = parse_rules(file.text)
     if isinstance(parsed, Failure):
-        count, errors = 0, parsed.failure()
+        rule_count, errors = 0, parsed.failure()
     else:
         rules = parsed.unwrap()
-        count, errors = len(rules), ()
+        rule_count, errors = len(rules), ()
         if context.options.deployment:
             text = context.read_file(context.options.deployment)
             deployment = from_json(text.encode(), Deployment)
             errors = check_rules(rules, deployment, ())
-    return count, tuple(evolve(e, line=e.line + file.header_lines) for e in errors)
+    return rule_count, tuple(evolve(e, line=e.line + file.header_lines) for e in errors)
 
 
 def show(context: Context) -> VerbResult:
     """Show the rules that were accepted last."""
-    answer = context.client.rules()
-    context.progress(_heading(answer))
+    answer = context.client.get_rules()
+    context.progress(_revision_line(answer))
     lines = add_header(answer.text, answer.revision).removesuffix("\n").split("\n")
     return VerbResult(DONE, tuple(lines), answer)
 
 
-def _heading(answer: RulesAnswer) -> str:
+def _revision_line(answer: RulesAnswer) -> str:
     if not answer.revision:
         return "revision 0: no rules were applied yet"
-    moment = datetime.fromtimestamp(answer.at, UTC).strftime("%Y-%m-%d %H:%M:%SZ")
-    return f"revision {answer.revision}, {moment}, by {answer.author}: {answer.reason}"
+    time = datetime.fromtimestamp(answer.at, UTC).strftime("%Y-%m-%d %H:%M:%SZ")
+    return f"revision {answer.revision}, {time}, by {answer.author}: {answer.reason}"
 
 
 def diff(context: Context) -> VerbResult:
     """Show what applying a file would change."""
     file = split_header(context.read_file(context.operand))
-    answer = context.client.rules()
+    answer = context.client.get_rules()
     base = file.revision if context.options.base is None else context.options.base
     changes = diff_rules(answer.text, file.text)
     lines = changes or (f"no change from revision {answer.revision}",)
     if base is not None and base != answer.revision:
-        note = (
+        warning = (
             f"the file was made from revision {base}, but revision "
             f"{answer.revision} by {answer.author} ({answer.reason}) is newer"
         )
-        lines = (*lines, note)
+        lines = (*lines, warning)
     return VerbResult(DONE, lines, DiffResult(answer.revision, base, changes))
 
 
 def apply(context: Context) -> VerbResult:
-    """Make a file's text the rules."""
+    """Replace the rules by the text of a file."""
     name, options = context.operand, context.options
-    author, reason = required_author(context)
+    author, reason = require_author_and_reason(context)
     file = split_header(context.read_file(name))
     base = file.revision if options.base is None else options.base
     if base is None:
@@ -114,17 +114,17 @@
     if errors:
         value = CheckResult(name, 0, errors)
         return VerbResult(REFUSED, error_lines(name, errors), value)
-    changes = _changes(context, base, file)
+    changes = _changes_from_base(context, base, file)
     change_id = options.change_id or context.new_change_id()
     result = submit(context, Change(file.text, base, author, reason, change_id))
     if isinstance(result, Failure):
-        return refused(result.failure(), base, name, file.header_lines)
-    done = accepted(context, result.unwrap(), changes)
+        return refused_result(result.failure(), base, name, file.header_lines)
+    verb_result = accepted_result(context, result.unwrap(), changes)
     hint = f"{name} is out of date now: run `ebonybend show` before the next change"
-    return evolve(done, lines=(*done.lines, hint))
+    return evolve(verb_result, lines=(*verb_result.lines, hint))
 
 
-def _changes(context: Context, base: int, file: RulesFile) -> tuple[str, ...]:
-    """Return what the file changes, if its base is the newest revision."""
-    answer = context.client.rules()
+def _changes_from_base(context: Context, base: int, file: RulesFile) -> tuple[str, ...]:
+    """Return what the file changes, or nothing if its base is not the newest."""
+    answer = context.client.get_rules()
     return diff_rules(answer.text, file.text) if answer.revision == base else ()
--- a/ebonybend/tool/state_verbs.py
+++ b/ebonybend/tool/state_verbs.py
@@ -4,17 +4,17 @@
 from datetime import UTC, datetime
 
 from ebonybend.control.admin_messages import StatusAnswer, WhereAnswer
-from ebonybend.tool.confirm import classify, confirmation_lines
+from ebonybend.tool.confirm import classify_instances, confirmation_lines
 from ebonybend.tool.context import DONE, REFUSED, Context, VerbResult
 from ebonybend.tool.options import usage_error
 
 
 def status(context: Context) -> VerbResult:
     """Show the revision in force, instances, backend servers, shifts, suspects."""
-    answer = context.client.status()
-    found = classify(answer, answer.revision)
+    answer = context.client.get_status()
+    confirmation = classify_instances(answer, answer.revision)
     lines = [
-        *confirmation_lines(found),
+        *confirmation_lines(confirmation),
         f"platform: {'reachable' if answer.platform_reachable else 'NOT REACHABLE'}",
         *_instance_lines(answer),
         *_server_lines(answer),
@@ -22,16 +22,16 @@
         *_suspect_lines(answer),
     ]
     return VerbResult(
-        DONE if found.in_force_everywhere else REFUSED, tuple(lines), answer
+        DONE if confirmation.in_force_everywhere else REFUSED, tuple(lines), answer
     )
 
 
 def history(context: Context) -> VerbResult:
     """Show recorded changes and events, newest first."""
-    answer = context.client.history(context.options.limit)
+    answer = context.client.get_history(context.options.limit)
     rows = [
         (
-            _moment(entry.at),
+            _format_time(entry.at),
             f"r{entry.revision}" if entry.revision else "-",
             entry.event,
             entry.author,
@@ -40,25 +40,25 @@
         )
         for entry in answer.entries
     ]
-    heads = ("TIME (UTC)", "REVISION", "EVENT", "AUTHOR", "REASON", "DETAIL")
-    return VerbResult(DONE, tuple(table(heads, rows)), answer)
+    headings = ("TIME (UTC)", "REVISION", "EVENT", "AUTHOR", "REASON", "DETAIL")
+    return VerbResult(DONE, tuple(format_table(headings, rows)), answer)
 
 
 def where(context: Context) -> VerbResult:
-    """Explain a look-up or a choice."""
+    """Explain how a lookup or a request is routed."""
     options = context.options
     if options.client is None and options.service is None:
         raise usage_error("where needs --client=IP, --service=NAME or both")
-    answer = context.client.where(
+    answer = context.client.get_where(
         client=options.client, service=options.service, method=options.method
     )
     return VerbResult(DONE, tuple(_where_lines(answer)), answer)
 
 
-def table(heads: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
-    """Return rows in aligned columns below their heads."""
-    cells = [tuple(heads), *(tuple(row) for row in rows)]
-    widths = [max(len(row[n]) for row in cells) for n in range(len(heads))]
+def format_table(headings: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
+    """Return rows in aligned columns below their headings."""
+    cells = [tuple(headings), *(tuple(row) for row in rows)]
+    widths = [max(len(row[column]) for row in cells) for column in range(len(headings))]
     return [
         "  ".join(
             cell.ljust(width) for cell, width in zip(row, widths, strict=True)
@@ -67,11 +67,11 @@
     ]
 
 
-def _moment(seconds: float) -> str:
+def _format_time(seconds: float) -> str:
     return datetime.fromtimestamp(seconds, UTC).strftime("%Y-%m-%d %H:%M:%S")
 
 
-def _age(age_ms: float) -> str:
+def _format_age(age_ms: float) -> str:
     return "never" if age_ms < 0 else f"{age_ms / 1000:.1f} s"
 
 
@@ -82,13 +82,13 @@
             i.failure_domain,
             i.state,
             str(i.rules_revision),
-            _age(i.age_ms),
+            _format_age(i.age_ms),
             "yes" if i.reachable else "NO",
         )
         for i in answer.instances
     ]
-    heads = ("INSTANCE", "FAILURE DOMAIN", "STATE", "REVISION", "HEARD", "REACHABLE")
-    return ["", *table(heads, rows)]
+    headings = ("INSTANCE", "FAILURE DOMAIN", "STATE", "REVISION", "HEARD", "REACHABLE")
+    return ["", *format_table(headings, rows)]
 
 
 def _server_lines(answer: StatusAnswer) -> list[str]:
@@ -96,8 +96,8 @@
         (s.name, s.service, s.failure_domain, s.state, str(s.in_flight), str(s.limit))
         for s in answer.servers
     ]
-    heads = ("BACKEND SERVER", "SERVICE", "FAILURE DOMAIN", "STATE", "IN FLIGHT")
-    return ["", *table((*heads, "LIMIT"), rows)] if rows else []
+    headings = ("BACKEND SERVER", "SERVICE", "FAILURE DOMAIN", "STATE", "IN FLIGHT")
+    return ["", *format_table((*headings, "LIMIT"), rows)] if rows else []
 
 
 def _shift_lines(answer: StatusAnswer) -> list[str]:
@@ -105,16 +105,21 @@
         (f"{s.cap_per_second}/s", f"{s.sent_last_second}/s", s.rule)
         for s in answer.shifts
     ]
-    return ["", *table(("CAP", "SENT", "SHIFT OR CAP"), rows)] if rows else []
+    return ["", *format_table(("CAP", "SENT", "SHIFT OR CAP"), rows)] if rows else []
 
 
 def _suspect_lines(answer: StatusAnswer) -> list[str]:
     rows = [
-        (s.fingerprint, str(s.crashes), "yes" if s.refused else "no", _age(s.age_ms))
+        (
+            s.fingerprint,
+            str(s.crashes),
+            "yes" if s.refused else "no",
+            _format_age(s.age_ms),
+        )
         for s in answer.suspects
     ]
-    heads = ("SUSPECT", "CRASHES", "REFUSED", "LAST CRASH")
-    return ["", *table(heads, rows)] if rows else []
+    headings = ("SUSPECT", "CRASHES", "REFUSED", "LAST CRASH")
+    return ["", *format_table(headings, rows)] if rows else []
 
 
 def _where_lines(answer: WhereAnswer) -> list[str]:
@@ -130,5 +135,5 @@
         ("BACKEND SERVER", answer.servers),
     ):
         rows = [(c.name, f"{c.score:.3f}", c.why) for c in choices]
-        lines += ["", *table((title, "SCORE", "WHY"), rows)] if rows else []
+        lines += ["", *format_table((title, "SCORE", "WHY"), rows)] if rows else []
     return [*lines, *answer.explanation]
--- a/ebonybend/tool/submit.py
+++ b/ebonybend/tool/submit.py
@@ -1,4 +1,4 @@
-"""Apply a change once, also when answers are lost."""
+"""Apply a change without duplicates, even if answers are lost."""
 
 from attrs import evolve, frozen
 from returns.result import Failure, Result
@@ -7,17 +7,17 @@
 from ebonybend.errors import ErrorKind, SteeringError
 from ebonybend.rules import RuleError
 from ebonybend.tool.admin_client import Change
-from ebonybend.tool.confirm import Confirmation, confirmation_lines, wait_in_force
+from ebonybend.tool.confirm import Confirmation, confirmation_lines, wait_until_in_force
 from ebonybend.tool.context import DONE, REFUSED, Context, VerbResult
 from ebonybend.tool.options import usage_error
 
-# Waits before asking again whether a change was accepted.
-REPEAT_DELAYS_S = (0.1, 0.5, 1.0, 2.0)
+# Delays before each retry of a change whose answer was lost.
+RETRY_DELAYS_S = (0.1, 0.5, 1.0, 2.0)
 
 
 @frozen
 class ChangeResult:
-    """What became of a change."""
+    """The result of a change."""
 
     accepted: bool
     revision: int = 0
@@ -28,12 +28,12 @@
     conflict: ConflictAnswer | None = None
 
 
-def required_author(context: Context) -> tuple[str, str]:
+def require_author_and_reason(context: Context) -> tuple[str, str]:
     """Return the author and the reason; raise BAD_SETTING if one is missing."""
     options = context.options
     if not options.author or not options.why:
         raise usage_error(f"{options.verb} needs --author=NAME and --why=REASON")
-    # Both go into one line of the history, and author names must be sendable.
+    # Both go into one line of the history and must be encodable as UTF-8 for sending.
     if not (options.author + options.why).isprintable():
         raise usage_error("--author and --why must be one line of readable text")
     return options.author, options.why
@@ -42,21 +42,21 @@
 def submit(
     context: Context, change: Change
 ) -> Result[ApplyAnswer, ConflictAnswer | CheckAnswer]:
-    """Apply a change; ask again with the same change id when the answer is lost."""
-    for delay in (*REPEAT_DELAYS_S, None):
+    """Apply a change; retry with the same change id if the answer is lost."""
+    for delay in (*RETRY_DELAYS_S, None):
         try:
             return context.client.put_rules(change)
         except SteeringError as error:
             if error.kind is not ErrorKind.OUTCOME_UNKNOWN:
                 raise
             if delay is None:
-                raise _still_unknown(change, error) from error
+                raise _unknown_outcome_error(change, error) from error
             context.progress(f"no answer ({error.message}); asking again")
             context.sleep(delay)
     raise AssertionError("the last try returns or raises")
 
 
-def _still_unknown(change: Change, error: SteeringError) -> SteeringError:
+def _unknown_outcome_error(change: Change, error: SteeringError) -> SteeringError:
     return SteeringError(
         ErrorKind.OUTCOME_UNKNOWN,
         f"the change may or may not have been accepted: {error.message}; run the "
@@ -64,35 +64,35 @@
     )
 
 
-def accepted(
+def accepted_result(
     context: Context, answer: ApplyAnswer, changes: tuple[str, ...]
 ) -> VerbResult:
-    """Wait for a change to be in force and return what is known."""
+    """Wait until a change is in force and return its result."""
     revision, change_id = answer.revision, answer.change_id
     context.progress(f"accepted as revision {revision} (change {change_id})")
-    found = wait_in_force(context, revision)
-    status = DONE if found.in_force_everywhere else REFUSED
-    value = ChangeResult(True, revision, change_id, changes, found)
-    return VerbResult(status, (*changes, *confirmation_lines(found)), value)
+    confirmation = wait_until_in_force(context, revision)
+    status = DONE if confirmation.in_force_everywhere else REFUSED
+    value = ChangeResult(True, revision, change_id, changes, confirmation)
+    return VerbResult(status, (*changes, *confirmation_lines(confirmation)), value)
 
 
-def refused(
+def refused_result(
     failure: ConflictAnswer | CheckAnswer, base: int, name: str, header_lines: int = 0
 ) -> VerbResult:
-    """Return a refusal, with error lines counted as in the named file."""
+    """Return the result of a refused change, with the line numbers of the file."""
     if isinstance(failure, ConflictAnswer):
-        return _conflict(failure, base)
+        return _conflict_result(failure, base)
     errors = tuple(evolve(e, line=e.line + header_lines) for e in failure.errors)
     value = ChangeResult(False, errors=errors)
     return VerbResult(REFUSED, error_lines(name, errors), value)
 
 
 def error_lines(name: str, errors: tuple[RuleError, ...]) -> tuple[str, ...]:
-    """Return one line for each error in the form that editors jump to."""
+    """Return one line FILE:LINE:COLUMN for each error, a form that editors read."""
     return tuple(f"{name}:{e.line}:{e.column}: {e.message}" for e in errors)
 
 
-def _conflict(conflict: ConflictAnswer, base: int) -> VerbResult:
+def _conflict_result(conflict: ConflictAnswer, base: int) -> VerbResult:
     lines = (
         f"conflict: revision {conflict.revision} by {conflict.author} "
         f"({conflict.reason}) was accepted first; your text was made from "
--- a/ebonybend/tool/tests/fake_admin.py
+++ b/ebonybend/tool/tests/fake_admin.py
@@ -1,4 +1,4 @@
-"""A small administration API whose answers tests can lose, delay and refuse."""
+"""A fake administration API that can lose, truncate and refuse requests."""
 
 from collections.abc import Callable
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
@@ -27,7 +27,7 @@
 
 @define
 class FakeAdmin:
-    """The state behind one or more listening fake servers."""
+    """The state of one or more fake servers, with the faults to inject."""
 
     rules: RulesAnswer = field(factory=lambda: RulesAnswer(0, "", "", "", "", 0.0, NOW))
     status: StatusAnswer = field(factory=lambda: StatusAnswer(0, True))
@@ -35,52 +35,56 @@
     history: HistoryAnswer = field(
         factory=lambda: HistoryAnswer((AuditEntry(NOW, "Ben", "rules_applied", 3),))
     )
-    # Instances that keep their revision when a change is accepted.
-    stuck: frozenset[str] = frozenset()
+    # Instances that stay on their revision when a change is accepted.
+    lagging: frozenset[str] = frozenset()
     # Instances that are planned but not listed by the platform.
     unlisted: frozenset[str] = frozenset()
-    # Number of next PUTs whose answer is lost after they took effect.
-    lose_after: int = 0
-    # Number of next PUTs that are lost before they take effect.
-    lose_before: int = 0
-    # Number of next PUTs that another operator's change goes before.
-    overtaken: int = 0
-    # Errors that only the control can find.
+    # Number of next PUTs that take effect but get no answer.
+    lost_answers: int = 0
+    # Number of next PUTs that have no effect and get no answer.
+    lost_requests: int = 0
+    # Number of next PUTs before which another operator's change is accepted.
+    conflicts: int = 0
+    # Errors that only the control detects.
     errors: tuple[RuleError, ...] = ()
-    # Sent as the body of the next PUTs and GETs in place of the right one.
-    garbled: bytes | None = None
-    # Bytes that are missing at the end of each answer.
-    cut: int = 0
-    # Status and error kind of the next PUT, after it took effect.
-    failing: list[tuple[int, str, str]] = field(factory=list)
-    accepted: dict[str, int] = field(factory=dict)
-    calls: list[str] = field(factory=list)
+    # Sent as the body of each answer in place of the correct one.
+    body_override: bytes | None = None
+    # Number of bytes missing at the end of each answer.
+    truncated_bytes: int = 0
+    # Status, error kind and outcome that the next PUTs answer after taking effect.
+    error_answers: list[tuple[int, str, str]] = field(factory=list)
+    revisions_by_change_id: dict[str, int] = field(factory=dict)
+    requests: list[str] = field(factory=list)
 
     def accept(self, text: str, author: str, reason: str, change_id: str) -> int:
-        """Make a text the next revision and report it by all but stuck instances."""
+        """Make a text the next revision, in force on all but the lagging instances."""
         revision = self.rules.revision + 1
         self.rules = RulesAnswer(revision, text, author, reason, change_id, NOW, NOW)
-        self.accepted[change_id] = revision
+        self.revisions_by_change_id[change_id] = revision
         self.status = evolve(
             self.status,
             revision=revision,
-            instances=tuple(self._reported(i, revision) for i in self.status.instances),
+            instances=tuple(
+                self._with_revision(i, revision) for i in self.status.instances
+            ),
         )
         return revision
 
-    def _reported(self, instance: InstanceStatus, revision: int) -> InstanceStatus:
-        kept = instance.name in self.stuck
-        return instance if kept else evolve(instance, rules_revision=revision)
+    def _with_revision(self, instance: InstanceStatus, revision: int) -> InstanceStatus:
+        is_lagging = instance.name in self.lagging
+        return instance if is_lagging else evolve(instance, rules_revision=revision)
 
     def put(self, headers: dict[str, str], text: str) -> tuple[int, object]:
-        """Answer a PUT as the administration API is specified to."""
-        if self.overtaken:
-            self.overtaken -= 1
-            other = f"{self.rules.text}# Eva: first\ndrain backend=e{self.overtaken}\n"
-            self.accept(other, "Eva", "first", f"e{self.overtaken}")
+        """Return the status and the body of the specified answer to a PUT."""
+        if self.conflicts:
+            self.conflicts -= 1
+            other_text = (
+                f"{self.rules.text}# Eva: first\ndrain backend=e{self.conflicts}\n"
+            )
+            self.accept(other_text, "Eva", "first", f"e{self.conflicts}")
         change_id = headers["Change-Id"]
-        if change_id in self.accepted:
-            return 200, ApplyAnswer(self.accepted[change_id], change_id)
+        if change_id in self.revisions_by_change_id:
+            return 200, ApplyAnswer(self.revisions_by_change_id[change_id], change_id)
         rules = self.rules
         if headers["If-Match"] != f'"{rules.revision}"':
             difference = diff_rules(rules.text, text)
@@ -93,8 +97,8 @@
         return 200, ApplyAnswer(self.accept(text, author, reason, change_id), change_id)
 
     def current_status(self) -> StatusAnswer:
-        """Return the status with the listed instances that are waited for."""
-        waiting = tuple(
+        """Return the status with the listed instances that lack the revision."""
+        unconfirmed = tuple(
             i.name
             for i in self.status.instances
             if i.rules_revision < self.status.revision and i.name not in self.unlisted
@@ -102,12 +106,12 @@
         listed = len(self.status.instances) > len(self.unlisted)
         return evolve(
             self.status,
-            in_force_everywhere=listed and not waiting,
-            waiting_for=waiting,
+            in_force_everywhere=listed and not unconfirmed,
+            waiting_for=unconfirmed,
         )
 
     def get(self, path: str) -> tuple[int, object]:
-        """Answer a GET."""
+        """Return the status and the body of the answer to a GET."""
         name = path.removeprefix("/v1/").partition("?")[0]
         if name == "status":
             return 200, self.current_status()
@@ -116,46 +120,46 @@
         return 404, ErrorBody("unknown_path", "bad_request", path, "")
 
 
-def serve(admin: FakeAdmin, clean_up: Callable) -> str:
-    """Start a server on loopback; return its address; stop it on clean-up."""
+def start_server(admin: FakeAdmin, add_cleanup: Callable) -> str:
+    """Start a server on loopback and return its address; stop it on cleanup."""
     server = ThreadingHTTPServer(("127.0.0.1", 0), _Handler)
     server.admin = admin
     thread = Thread(target=server.serve_forever, args=(0.01,), daemon=True)
     thread.start()
-    clean_up(server.server_close)
-    clean_up(server.shutdown)
+    add_cleanup(server.server_close)
+    add_cleanup(server.shutdown)
     host, port = server.server_address
     return f"{host}:{port}"
 
 
 class _Handler(BaseHTTPRequestHandler):
     def do_GET(self):
-        self.server.admin.calls.append(f"GET {self.path}")
+        self.server.admin.requests.append(f"GET {self.path}")
         self.answer(*self.server.admin.get(self.path))
 
     def do_PUT(self):
         admin = self.server.admin
-        admin.calls.append(f"PUT {self.path}")
+        admin.requests.append(f"PUT {self.path}")
         text = self.rfile.read(int(self.headers["Content-Length"])).decode()
-        if admin.lose_before:
-            admin.lose_before -= 1
+        if admin.lost_requests:
+            admin.lost_requests -= 1
             return
         answer = admin.put(self.headers, text)
-        if admin.lose_after:
-            admin.lose_after -= 1
+        if admin.lost_answers:
+            admin.lost_answers -= 1
             return
-        if admin.failing:
-            status, kind, outcome = admin.failing.pop()
+        if admin.error_answers:
+            status, kind, outcome = admin.error_answers.pop()
             answer = status, ErrorBody(kind, outcome, kind, "")
         self.answer(*answer)
 
     def answer(self, status, value):
         admin = self.server.admin
-        body = to_json(value) if admin.garbled is None else admin.garbled
+        body = to_json(value) if admin.body_override is None else admin.body_override
         self.send_response(status)
         self.send_header("Content-Length", str(len(body)))
         self.end_headers()
-        self.wfile.write(body[: len(body) - admin.cut])
+        self.wfile.write(body[: len(body) - admin.truncated_bytes])
 
     def log_message(self, *_):
         pass
--- a/ebonybend/tool/tests/test_docs.py
+++ b/ebonybend/tool/tests/test_docs.py
@@ -14,12 +14,12 @@
 ROOT = Path(__file__).resolve().parents[3]
 README = (ROOT / "README.md").read_text()
 OPERATING = (ROOT / "docs" / "operating.md").read_text()
-# A time before the ends in the README's example.
-BEFORE = 1_790_000_000.0
+# A time before the rules in the README's example expire.
+NOW = 1_790_000_000.0
 
 
 class PagesTest(TestCase):
-    """Guards against pages that no longer fit the code."""
+    """Guards against documentation that does not match the code."""
 
     def test_error_table_has_every_kind_with_its_answer(self):
         for kind, answer in ANSWERS.items():
@@ -31,7 +31,7 @@
         data = re.search(r"```json\n(.*?)```", README, re.DOTALL)[1]
         deployment = from_json(data.encode(), Deployment)
         rules = parse_rules(text).unwrap()
-        self.assertEqual((), check_rules(rules, deployment, (), BEFORE))
+        self.assertEqual((), check_rules(rules, deployment, (), NOW))
 
     def test_example_commands_use_known_verbs_and_flags(self):
         examples = [verb.example for verb in VERBS.values()]
--- a/ebonybend/tool/verbs.py
+++ b/ebonybend/tool/verbs.py
@@ -1,4 +1,4 @@
-"""The list of verbs and their help."""
+"""The verbs with their help texts."""
 
 from collections.abc import Callable, Sequence
 
@@ -16,19 +16,19 @@
 
 @frozen
 class Verb:
-    """One verb of the tool."""
+    """A verb (subcommand) of the tool."""
 
     name: str
     run: Callable[[Context], VerbResult]
     summary: str
     flags: tuple[str, ...] = ()
-    # Name of its only operand, or empty.
+    # Name of the only operand, or empty.
     operand: str = ""
     detail: str = ""
     example: str = ""
 
 
-_ALL = (
+_VERB_LIST = (
     Verb(
         "check",
         check,
@@ -113,7 +113,7 @@
         example="ebonybend where --client=192.0.2.7 --service=ride-history",
     ),
 )
-VERBS = {verb.name: verb for verb in _ALL}
+VERBS = {verb.name: verb for verb in _VERB_LIST}
 
 
 def general_help(values: flags.FlagValues) -> str:
@@ -125,12 +125,15 @@
         "       ebonybend VERB --help",
         "",
         "verbs:",
-        *(_row(f"{verb.name} {verb.operand}", verb.summary) for verb in _ALL),
+        *(
+            _help_row(f"{verb.name} {verb.operand}", verb.summary)
+            for verb in _VERB_LIST
+        ),
         "",
         "flags of every verb:",
         *_flag_lines(values, COMMON_FLAGS),
         "",
-        *_FOOTER,
+        *_HELP_FOOTER,
     ]
     return "\n".join(lines)
 
@@ -141,16 +144,16 @@
     lines = [f"{usage} [--FLAG=VALUE ...]", "", verb.summary]
     lines += [verb.detail] if verb.detail else []
     lines += ["", "flags:", *_flag_lines(values, allowed_flags(verb))]
-    lines += ["", "example:", f"  {verb.example}", "", *_FOOTER]
+    lines += ["", "example:", f"  {verb.example}", "", *_HELP_FOOTER]
     return "\n".join(lines)
 
 
 def allowed_flags(verb: Verb) -> tuple[str, ...]:
-    """Return the flags that a verb takes."""
+    """Return the names of the flags that a verb accepts."""
     return (*verb.flags, *COMMON_FLAGS)
 
 
-_FOOTER = (
+_HELP_FOOTER = (
     "Each flag can be set by an environment variable EBONYBEND_<FLAG>, except",
     f"{', '.join(f'--{name}' for name in COMMAND_LINE_ONLY)}. The command line goes "
     "before the environment.",
@@ -160,7 +163,7 @@
 )
 
 
-def _row(left: str, right: str) -> str:
+def _help_row(left: str, right: str) -> str:
     return f"  {left.strip():<20}{right}"
 
 
@@ -169,13 +172,13 @@
     for name in names:
         flag = values[name]
         left = f"--{name}" if flag.boolean else f"--{name}=..."
-        default = _default(flag)
+        default = _format_default(flag)
         text = f"{flag.help} (default: {default})" if default else flag.help
-        lines.append(_row(left, text))
+        lines.append(_help_row(left, text))
     return lines
 
 
-def _default(flag: flags.Flag) -> str:
+def _format_default(flag: flags.Flag) -> str:
     if flag.boolean or flag.default is None:
         return ""
     if isinstance(flag.default, list):
