--- a/ebonybend/tool/edit_verbs.py
+++ b/ebonybend/tool/edit_verbs.py
@@ -30,7 +30,7 @@
 from ebonybend.tool.options import bad_setting, usage_error
 from ebonybend.tool.submit import (
     ChangeResult,
-    accepted_result,
+    confirm_change,
     is_conflict,
     refused_result,
     require_author_and_reason,
@@ -82,15 +82,15 @@
     for delay in (*CONFLICT_RETRY_DELAYS_S, None):
         answer = context.client.get_rules()
         if answer.change_id == change_id:
-            return accepted_result(context, ApplyAnswer(answer.revision, change_id), ())
+            return confirm_change(context, ApplyAnswer(answer.revision, change_id), ())
         edited = edit(answer)
         if edited.nothing_to_do:
-            return _unchanged_result(context, answer, edited.nothing_to_do)
+            return _confirm_unchanged(context, answer, edited.nothing_to_do)
         change = Change(edited.text, answer.revision, author, reason, change_id)
         result = submit(context, change)
         if not isinstance(result, Failure):
             changes = diff_rules(answer.text, edited.text)
-            return accepted_result(context, result.unwrap(), changes)
+            return confirm_change(context, result.unwrap(), changes)
         if delay is None or not is_conflict(result):
             return refused_result(result.failure(), answer.revision, "edited rules")
         context.progress("another change was accepted first; trying again")
@@ -100,7 +100,7 @@
     raise AssertionError("the last try returns")
 
 
-def _unchanged_result(context: Context, answer: RulesAnswer, why: str) -> VerbResult:
+def _confirm_unchanged(context: Context, answer: RulesAnswer, why: str) -> VerbResult:
     """Report that no change is needed and whether the rules are in force."""
     confirmation = wait_until_in_force(context, answer.revision)
     status = DONE if confirmation.in_force_everywhere else REFUSED
@@ -109,7 +109,7 @@
 
 
 def _make_add_edit(context: Context, answer: RulesAnswer, body: RuleBody) -> Edit:
-    """Add a rule; replace the same rule if it has another end."""
+    """Return the edit that adds a rule, or changes its expiry if it exists."""
     author, reason = require_author_and_reason(context)
     text = _remove_expired_rules(answer)
     until = _parse_until(context.options.until, answer.now)
@@ -123,7 +123,7 @@
 
 
 def _make_undrain_edit(context: Context, answer: RulesAnswer, name: str) -> Edit:
-    """Remove the drain rule of an instance or a backend server."""
+    """Return the edit that removes the drain rule of a name."""
     text = _remove_expired_rules(answer)
     kind = _kind_from_flags(context)
     matches = [
@@ -155,7 +155,7 @@
 
 
 def _parse_until(text: str | None, now: float) -> float | None:
-    """Return the end of a rule as Unix time; raise BAD_SETTING if it is invalid."""
+    """Return a rule's expiry as Unix time; raise BAD_SETTING if it is invalid."""
     if text is None:
         return None
     match = _DURATION.fullmatch(text)
@@ -181,7 +181,7 @@
 
 
 def _drain_rule(context: Context) -> DrainRule:
-    """Return the rule to add; look the kind of target up unless a flag sets it."""
+    """Return the drain rule; find the kind of its target unless a flag sets it."""
     name = _parse_name(context.operand)
     kind = _kind_from_flags(context) or _kind_from_status(context, name)
     return DrainRule(target_kind=kind, name=name)
--- a/ebonybend/tool/options.py
+++ b/ebonybend/tool/options.py
@@ -127,7 +127,7 @@
         positional = values(["ebonybend", *arguments])[1:]
     except flags.Error as error:
         raise usage_error(str(error)) from error
-    _check(values)
+    _check_values(values)
     given = frozenset(name for name in values if values[name].present)
     option_values = {name: values[name].value for name in values}
     option_values["admin"] = tuple(option_values["admin"])
@@ -138,7 +138,7 @@
     return options, values
 
 
-def _check(values: flags.FlagValues) -> None:
+def _check_values(values: flags.FlagValues) -> None:
     if not values["admin"].value:
         raise bad_setting("admin", "", "give at least one address")
     for address in values["admin"].value:
--- a/ebonybend/tool/rules_verbs.py
+++ b/ebonybend/tool/rules_verbs.py
@@ -13,7 +13,7 @@
 from ebonybend.tool.files import RulesFile, add_header, split_header
 from ebonybend.tool.options import usage_error
 from ebonybend.tool.submit import (
-    accepted_result,
+    confirm_change,
     error_lines,
     refused_result,
     require_author_and_reason,
@@ -119,7 +119,7 @@
     result = submit(context, Change(file.text, base, author, reason, change_id))
     if isinstance(result, Failure):
         return refused_result(result.failure(), base, name, file.header_lines)
-    verb_result = accepted_result(context, result.unwrap(), changes)
+    verb_result = confirm_change(context, result.unwrap(), changes)
     hint = f"{name} is out of date now: run `ebonybend show` before the next change"
     return evolve(verb_result, lines=(*verb_result.lines, hint))
 
--- a/ebonybend/tool/state_verbs.py
+++ b/ebonybend/tool/state_verbs.py
@@ -57,13 +57,15 @@
 
 def format_table(headings: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
     """Return rows in aligned columns below their headings."""
-    cells = [tuple(headings), *(tuple(row) for row in rows)]
-    widths = [max(len(row[column]) for row in cells) for column in range(len(headings))]
+    all_rows = [tuple(headings), *(tuple(row) for row in rows)]
+    widths = [
+        max(len(row[column]) for row in all_rows) for column in range(len(headings))
+    ]
     return [
         "  ".join(
             cell.ljust(width) for cell, width in zip(row, widths, strict=True)
         ).rstrip()
-        for row in cells
+        for row in all_rows
     ]
 
 
--- a/ebonybend/tool/submit.py
+++ b/ebonybend/tool/submit.py
@@ -64,10 +64,10 @@
     )
 
 
-def accepted_result(
+def confirm_change(
     context: Context, answer: ApplyAnswer, changes: tuple[str, ...]
 ) -> VerbResult:
-    """Wait until a change is in force and return its result."""
+    """Wait until an accepted change is in force and return its result."""
     revision, change_id = answer.revision, answer.change_id
     context.progress(f"accepted as revision {revision} (change {change_id})")
     confirmation = wait_until_in_force(context, revision)
