--- a/bench/addresses.py
+++ b/bench/addresses.py
@@ -1,4 +1,4 @@
-"""Loopback addresses of a fleet, and the proxy rules for its latencies."""
+"""Assign loopback addresses to a fleet and proxy rules for its latencies."""
 
 import errno
 from socket import AF_INET, SOCK_STREAM, socket
@@ -10,7 +10,7 @@
 from standins.proxy_rules import Listener, ProxyConfig, ProxyLink, ProxyRule
 
 # Ports are below 32768, the start of the usual ephemeral range. A process listens
-# on its port plus the offset; the port itself belongs to the proxy.
+# on its port plus the offset; the proxy listens on the port itself.
 LISTEN_OFFSET = 10_000
 PUBLIC_PORT = 8080
 PEER_PORT = 7200
@@ -26,12 +26,12 @@
 FIRST_SERVER_HOST = 10
 PLATFORM_HOST = 200
 PROXY_HOST = 201
-CALLER_NETWORK = 100
+CLIENT_NETWORK = 100
 
 
 @frozen
 class Endpoint:
-    """An address that a process listens on and the one that others use."""
+    """The listen address of a process and the proxied address that others use."""
 
     listen: str
     advertise: str
@@ -45,14 +45,14 @@
     plan: DeploymentPlan
 
     def domain_network(self, domain: str) -> str:
-        """Return the address prefix of a failure domain, with its last dot."""
+        """Return the address prefix of a failure domain, with a trailing dot."""
         names = [x.name for x in self.plan.deployment.failure_domains]
         return f"127.{self.fleet}.{names.index(domain) + 1}."
 
     def caller_network(self, region: str) -> str:
-        """Return the address prefix of a region's callers, with its last dot."""
+        """Return the address prefix of a region's clients, with a trailing dot."""
         names = [x.name for x in self.plan.deployment.regions]
-        return f"127.{self.fleet}.{CALLER_NETWORK + names.index(region)}."
+        return f"127.{self.fleet}.{CLIENT_NETWORK + names.index(region)}."
 
     def instance_host(self, instance: str) -> str:
         """Return the IP address of an entry instance."""
@@ -73,16 +73,16 @@
         number = FIRST_SERVER_HOST + same.index(server)
         return f"{self.domain_network(found.failure_domain)}{number}"
 
-    def client_ip(self, region: str, caller: int) -> str:
-        """Return the address by which a caller's look-ups name it.
+    def client_ip(self, region: str, client_number: int) -> str:
+        """Return the client address that a client sends in its lookups.
 
-        Each caller is in a /24 block of its own, as look-ups rank by block.
+        Each client is in its own /24 block, because lookups rank by block.
         """
         names = [x.name for x in self.plan.deployment.regions]
-        return f"10.{names.index(region) + 1}.{caller}.7"
+        return f"10.{names.index(region) + 1}.{client_number}.7"
 
-    def client_blocks(self, callers: int) -> dict[str, str]:
-        """Return the failure domain of each caller's block, nearest to the caller."""
+    def client_blocks(self, client_count: int) -> dict[str, str]:
+        """Return the nearest failure domain for each client's block."""
         blocks = {}
         for region in self.plan.deployment.regions:
             domains = [
@@ -90,14 +90,14 @@
                 for x in self.plan.deployment.failure_domains
                 if x.region == region.name
             ]
-            for caller in range(1, callers + 1):
-                block = self.client_ip(region.name, caller)
-                blocks[block] = domains[caller % len(domains)]
+            for client_number in range(1, client_count + 1):
+                block = self.client_ip(region.name, client_number)
+                blocks[block] = domains[client_number % len(domains)]
         return blocks
 
     @property
     def store_domain(self) -> str:
-        """Return the failure domain of the platform's store."""
+        """Return the failure domain of the platform's object store."""
         domains = self.plan.deployment.failure_domains
         return next(x.name for x in domains if x.region == self.plan.store_region)
 
@@ -122,15 +122,15 @@
         return f"127.{self.fleet}.0.{PROXY_HOST}:{FAULTS_PORT}"
 
     def public(self, instance: str) -> Endpoint:
-        """Return the address that callers use."""
+        """Return the address of an instance for clients."""
         return endpoint(self.instance_host(instance), PUBLIC_PORT)
 
     def peer(self, instance: str) -> Endpoint:
-        """Return the address for other entries."""
+        """Return the address of an instance for other entries."""
         return endpoint(self.instance_host(instance), PEER_PORT)
 
     def exchange(self, instance: str) -> Endpoint:
-        """Return the address for other controls."""
+        """Return the address of an instance for other controls."""
         return endpoint(self.instance_host(instance), EXCHANGE_PORT)
 
     def control(self, instance: str) -> str:
@@ -138,7 +138,7 @@
         return f"{self.instance_host(instance)}:{CONTROL_PORT}"
 
     def admin(self, instance: str) -> str:
-        """Return the address of the administration API."""
+        """Return the address of an instance's administration API."""
         return f"{self.instance_host(instance)}:{ADMIN_PORT}"
 
     def server(self, server: str) -> Endpoint:
@@ -150,7 +150,7 @@
         return f"{self.server_host(server)}:{FAULTS_PORT}"
 
     def listeners(self) -> tuple[Listener, ...]:
-        """Return everything that the proxy forwards."""
+        """Return all addresses that the proxy forwards."""
         endpoints = [self.platform]
         for name in self.plan.instances:
             endpoints += [self.public(name), self.peer(name), self.exchange(name)]
@@ -158,60 +158,68 @@
         return tuple(Listener(x.advertise, x.listen) for x in endpoints)
 
     def proxy_config(self) -> ProxyConfig:
-        """Return the proxy's configuration without faults."""
-        rules = (*self._domain_rules(), *self._caller_rules())
+        """Return the proxy's configuration, with latencies but no faults."""
+        rules = (*self._domain_latency_rules(), *self._client_latency_rules())
         links = tuple(
             ProxyLink(link_name(x.source, x.target), x.bytes_per_second)
             for x in self.plan.deployment.links
         )
         return ProxyConfig(self.listeners(), links, rules)
 
-    def _domain_rules(self) -> tuple[ProxyRule, ...]:
+    def _domain_latency_rules(self) -> tuple[ProxyRule, ...]:
         domains = self.plan.deployment.failure_domains
         pairs = ((a, b) for a in domains for b in domains if a != b)
-        return tuple(self._domain_rule(source, target) for source, target in pairs)
+        return tuple(
+            self._domain_latency_rule(source, target) for source, target in pairs
+        )
 
-    def _domain_rule(self, source: FailureDomain, target: FailureDomain) -> ProxyRule:
-        across = source.region != target.region
+    def _domain_latency_rule(
+        self, source: FailureDomain, target: FailureDomain
+    ) -> ProxyRule:
+        crosses_regions = source.region != target.region
         latency = self.plan.deployment.one_way_latency_ms(source.name, target.name)
         return ProxyRule(
             name=f"latency {source.name} {target.name}",
             source=self.domain_network(source.name),
             target=self.domain_network(target.name),
             delay_ms=latency,
-            forward_link=link_name(source.region, target.region) if across else None,
-            back_link=link_name(target.region, source.region) if across else None,
+            forward_link=link_name(source.region, target.region)
+            if crosses_regions
+            else None,
+            back_link=link_name(target.region, source.region)
+            if crosses_regions
+            else None,
         )
 
-    def _caller_rules(self) -> tuple[ProxyRule, ...]:
+    def _client_latency_rules(self) -> tuple[ProxyRule, ...]:
         rules = []
         for region in self.plan.deployment.regions:
             for domain in self.plan.deployment.failure_domains:
                 link = self.plan.deployment.link(region.name, domain.region)
-                across_ms = link.one_way_latency_ms if link else 0.0
+                link_latency_ms = link.one_way_latency_ms if link else 0.0
                 rules.append(
                     ProxyRule(
                         name=f"latency callers {region.name} {domain.name}",
                         source=self.caller_network(region.name),
                         target=self.domain_network(domain.name),
-                        delay_ms=self.plan.client_latency_ms + across_ms,
+                        delay_ms=self.plan.client_latency_ms + link_latency_ms,
                     )
                 )
         return tuple(rules)
 
 
 def endpoint(host: str, port: int) -> Endpoint:
-    """Return the two addresses for a port."""
+    """Return the listen and advertised addresses of a port."""
     return Endpoint(f"{host}:{port + LISTEN_OFFSET}", f"{host}:{port}")
 
 
 def link_name(source: str, target: str) -> str:
-    """Return the proxy's name of the link from one region to another."""
+    """Return the proxy's name for the link from one region to another."""
     return f"{source}>{target}"
 
 
 def reserve_fleet() -> tuple[int, socket]:
-    """Return a free fleet number and the socket that reserves it until it closes."""
+    """Return a free fleet number and the open socket that reserves it."""
     for number in range(FIRST_FLEET, LAST_FLEET + 1):
         lock = socket(AF_INET, SOCK_STREAM)
         try:
--- a/bench/bare_forwarder.py
+++ b/bench/bare_forwarder.py
@@ -1,4 +1,4 @@
-"""A twisted.web forwarder without decisions, the baseline for the cost of them."""
+"""A round-robin forwarder, the baseline for the cost of routing decisions."""
 
 from absl import app, flags
 from twisted.internet import reactor
@@ -12,17 +12,17 @@
 
 
 class BareForwarder:
-    """Forward each request to the next target."""
+    """Forward requests to the targets in round-robin order."""
 
     def __init__(self, client: HttpClient, targets: list[str]):
         self.client = client
         self.targets = targets
-        self.count = 0
+        self.request_count = 0
 
     async def __call__(self, request) -> OutgoingAnswer:
         """Forward one request."""
-        self.count += 1
-        target = self.targets[self.count % len(self.targets)]
+        self.request_count += 1
+        target = self.targets[self.request_count % len(self.targets)]
         answer = await self.client.request(
             request.method, target, request.path, body=request.body
         )
@@ -30,7 +30,7 @@
 
 
 def main(_arguments: list[str]) -> None:
-    """Forward until ended."""
+    """Run the forwarder until the process is stopped."""
     host, port = split_address(_LISTEN.value)
     forwarder = BareForwarder(HttpClient(reactor), _TARGETS.value)
     site = HttpSite(reactor, forwarder, HttpLimits())
--- a/bench/caller.py
+++ b/bench/caller.py
@@ -1,4 +1,4 @@
-"""Callers: send an open-loop load through the system and record what became of it."""
+"""Send an open-loop load through the system and record the result of each request."""
 
 import sys
 from pathlib import Path
@@ -24,69 +24,69 @@
 from standins.command import run, sleep
 from standins.echo import body_checksum, read_answer
 
-# A caller waits a little longer than the deadline that it states, because the
-# answer to a request that ran out of time is itself on its way.
+# A client waits longer than the deadline that it sends, so that an answer
+# reporting an exceeded deadline can still arrive.
 ANSWER_GRACE_S = 0.2
-RETRY_PAUSE_S = 0.05
-# An unknown outcome may become known once the owner of the key answers again.
-UNKNOWN_PAUSE_S = 0.2
-# Refused by a rule, or suspected of crashing servers: sending again is of no use.
+RETRY_DELAY_S = 0.05
+# An unknown outcome may become known once the owner of the key is reachable again.
+UNKNOWN_RETRY_DELAY_S = 0.2
+# Refused by a rule, or suspected of crashing servers: a retry can't succeed.
 FINAL_STATUSES = (403, 422)
-# A read may be sent again, so an attempt takes this part of its deadline at most; a
-# silent instance would take all of it otherwise. Writes are bound to one owner.
-READ_ATTEMPT_PART = 0.5
-# Less time than this is not worth an attempt.
-SHORTEST_ATTEMPT_S = 0.005
+# Fraction of the deadline that one attempt of a read may take, so that time remains
+# for a retry if an instance is unresponsive. Writes are bound to one owner.
+MAX_READ_ATTEMPT_FRACTION = 0.5
+# No attempt starts with less time than this remaining.
+MIN_ATTEMPT_S = 0.005
 MAX_ANSWER_BYTES = 16 << 20
-LISTED_RESULTS = ("answered", "not_run", "unknown", "bad_request")
+VALID_OUTCOMES = ("answered", "not_run", "unknown", "bad_request")
 
 
 @frozen
 class Wanted:
-    """One thing that a caller wants done."""
+    """A read or write to be performed, by one or more attempts."""
 
     name: str
     traffic: Traffic
-    # Path with query, below the service.
+    # Path with query, relative to the service.
     path: str
     body: bytes
     started_at: float
 
     @property
-    def write(self) -> bool:
-        """Return whether it may run only once."""
+    def is_write(self) -> bool:
+        """Return whether the operation is a write, which must run at most once."""
         return self.traffic.method == "POST"
 
     @property
     def deadline(self) -> float:
-        """Return the time after which the caller gives up."""
+        """Return the time after which the client gives up."""
         return self.started_at + self.traffic.deadline_ms / 1000
 
 
 @define
-class Progress:
-    """The attempts so far and the key that a write is bound to."""
+class AttemptHistory:
+    """The attempts of an operation and the key that a write is bound to."""
 
     attempts: list[Attempt] = field(factory=list)
-    # Set once bytes may have been sent. Only a refusal of the key allows a new one.
+    # Set once bytes may have been sent; only a refusal that covers the key clears it.
     bound_key: str = ""
     fault: str = ""
 
     @property
-    def last(self) -> AttemptResult:
-        """Return the result of the last attempt."""
+    def last_result(self) -> AttemptResult:
+        """Return the result of the last attempt; "not_sent" if there is none."""
         return self.attempts[-1].result if self.attempts else "not_sent"
 
     @property
-    def settled(self) -> bool:
-        """Return whether sending again is of no use."""
-        if self.last in ("answered", "bad_request"):
+    def is_final(self) -> bool:
+        """Return whether a retry can't change the result."""
+        if self.last_result in ("answered", "bad_request"):
             return True
         return bool(self.attempts) and self.attempts[-1].status in FINAL_STATUSES
 
 
 class Caller:
-    """One caller with its own address, look-up cache and connections."""
+    """A client with its own address, lookup cache and connections."""
 
     def __init__(self, reactor: Any, load: RegionLoad, index: int):
         self.reactor = reactor
@@ -96,107 +96,119 @@
         client = load.clients[index]
         self.lookups = LookupCache(SystemClock(), self.http, load.seeds, client)
 
-    async def perform(self, wanted: Wanted) -> Operation:
-        """Send a request until it is answered or its deadline has passed."""
-        progress = Progress()
-        while self._left(wanted) > SHORTEST_ATTEMPT_S:
-            for instance in await self._candidates(progress):
-                if self._left(wanted) <= SHORTEST_ATTEMPT_S:
+    async def perform(self, planned: Wanted) -> Operation:
+        """Send a request, with retries, until its result is final or time is up."""
+        history = AttemptHistory()
+        while self._remaining_s(planned) > MIN_ATTEMPT_S:
+            for instance in await self._candidates(history):
+                if self._remaining_s(planned) <= MIN_ATTEMPT_S:
                     break
-                await self._attempt(wanted, progress, instance)
-                if progress.settled:
-                    return self._operation(wanted, progress)
-                await self._pause(wanted, progress)
-            if not progress.attempts or progress.last == "not_sent":
-                await sleep(self.reactor, RETRY_PAUSE_S)
-        return self._operation(wanted, progress)
-
-    def _left(self, wanted: Wanted) -> float:
-        return wanted.deadline - monotonic()
-
-    async def _candidates(self, progress: Progress) -> tuple[ListedInstance, ...]:
-        """Return the listed instances; the last one used comes last."""
+                await self._attempt(planned, history, instance)
+                if history.is_final:
+                    return self._operation(planned, history)
+                await self._wait_before_retry(planned, history)
+            if not history.attempts or history.last_result == "not_sent":
+                await sleep(self.reactor, RETRY_DELAY_S)
+        return self._operation(planned, history)
+
+    def _remaining_s(self, planned: Wanted) -> float:
+        return planned.deadline - monotonic()
+
+    async def _candidates(self, history: AttemptHistory) -> tuple[ListedInstance, ...]:
+        """Return the listed instances, the most recently used one last."""
         listed = await self.lookups.get()
-        if not progress.attempts:
+        if not history.attempts:
             return listed
-        last = progress.attempts[-1].instance
-        return tuple(sorted(listed, key=lambda x: x.name == last))
-
-    def _attempt_s(self, wanted: Wanted) -> float:
-        """Return the time that one attempt may take."""
-        left = self._left(wanted)
-        if wanted.write:
-            return left
-        return min(left, READ_ATTEMPT_PART * wanted.traffic.deadline_ms / 1000)
-
-    async def _pause(self, wanted: Wanted, progress: Progress) -> None:
-        """Wait for as long as the last answer asks, within the deadline."""
-        pause = progress.attempts[-1].retry_after_ms / 1000
-        if wanted.write and progress.last in ("unknown", "lost"):
-            pause = max(pause, UNKNOWN_PAUSE_S)
-        if pause > 0:
-            await sleep(self.reactor, max(min(pause, self._left(wanted)), 0.0))
+        last_instance = history.attempts[-1].instance
+        return tuple(sorted(listed, key=lambda x: x.name == last_instance))
+
+    def _attempt_timeout_s(self, planned: Wanted) -> float:
+        """Return the timeout of one attempt in seconds."""
+        remaining_s = self._remaining_s(planned)
+        if planned.is_write:
+            return remaining_s
+        return min(
+            remaining_s, MAX_READ_ATTEMPT_FRACTION * planned.traffic.deadline_ms / 1000
+        )
+
+    async def _wait_before_retry(
+        self, planned: Wanted, history: AttemptHistory
+    ) -> None:
+        """Wait for the delay that the last answer requests, within the deadline."""
+        delay_s = history.attempts[-1].retry_after_ms / 1000
+        if planned.is_write and history.last_result in ("unknown", "lost"):
+            delay_s = max(delay_s, UNKNOWN_RETRY_DELAY_S)
+        if delay_s > 0:
+            await sleep(
+                self.reactor, max(min(delay_s, self._remaining_s(planned)), 0.0)
+            )
 
     async def _attempt(
-        self, wanted: Wanted, progress: Progress, instance: ListedInstance
+        self, planned: Wanted, history: AttemptHistory, instance: ListedInstance
     ) -> None:
         at = monotonic()
-        request_id = f"{wanted.name}.{len(progress.attempts) + 1}"
-        key = self._key(wanted, progress, instance)
+        request_id = f"{planned.name}.{len(history.attempts) + 1}"
+        key = self._key(planned, history, instance)
         attempt = Attempt(at, request_id, instance.name, key, "lost")
-        # Before sending, because a cancelled attempt may have been sent too.
-        progress.bound_key = key
+        # Set before sending, because a cancelled attempt may have been sent too.
+        history.bound_key = key
         try:
-            answer = await self._send(wanted, instance, request_id, key)
+            answer = await self._send(planned, instance, request_id, key)
         except NotSent as error:
-            if not any(x.result != "not_sent" for x in progress.attempts):
-                progress.bound_key = ""
+            if not any(x.result != "not_sent" for x in history.attempts):
+                history.bound_key = ""
             self.lookups.expire()
             attempt = evolve(attempt, result="not_sent", error=str(error))
         except RequestFailed as error:
             if isinstance(error, AnswerTimeout):
-                self.lookups.note_silent(instance.name)
+                self.lookups.mark_unresponsive(instance.name)
             attempt = evolve(attempt, error=f"{type(error).__name__}: {error}")
         else:
-            attempt = self._conclude(wanted, progress, attempt, answer)
-        progress.attempts.append(evolve(attempt, ended_at=monotonic()))
+            attempt = self._evaluate_answer(planned, history, attempt, answer)
+        history.attempts.append(evolve(attempt, ended_at=monotonic()))
         if attempt.covers_key:
-            progress.bound_key = ""
+            history.bound_key = ""
 
-    def _key(self, wanted: Wanted, progress: Progress, instance: ListedInstance) -> str:
-        if not wanted.write:
+    def _key(
+        self, planned: Wanted, history: AttemptHistory, instance: ListedInstance
+    ) -> str:
+        if not planned.is_write:
             return ""
-        return progress.bound_key or f"{instance.key_prefix}~{wanted.name}"
+        return history.bound_key or f"{instance.key_prefix}~{planned.name}"
 
     async def _send(
-        self, wanted: Wanted, instance: ListedInstance, request_id: str, key: str
+        self, planned: Wanted, instance: ListedInstance, request_id: str, key: str
     ) -> HttpAnswer:
-        within = self._attempt_s(wanted)
+        timeout_s = self._attempt_timeout_s(planned)
         headers = {
             "Request-Id": request_id,
-            "Deadline-Ms": str(max(int(within * 1000), 1)),
+            "Deadline-Ms": str(max(int(timeout_s * 1000), 1)),
         }
         if key:
             headers["Idempotency-Key"] = key
         return await self.http.request(
-            wanted.traffic.method,
+            planned.traffic.method,
             instance.address,
-            f"/s/{wanted.traffic.service}{wanted.path}",
+            f"/s/{planned.traffic.service}{planned.path}",
             headers,
-            wanted.body,
-            within + ANSWER_GRACE_S,
+            planned.body,
+            timeout_s + ANSWER_GRACE_S,
             MAX_ANSWER_BYTES,
         )
 
-    def _conclude(
-        self, wanted: Wanted, progress: Progress, attempt: Attempt, answer: HttpAnswer
+    def _evaluate_answer(
+        self,
+        planned: Wanted,
+        history: AttemptHistory,
+        attempt: Attempt,
+        answer: HttpAnswer,
     ) -> Attempt:
         outcome = answer.header("Ebonybend-Outcome")
-        if outcome not in LISTED_RESULTS:
-            progress.fault = f"outcome {outcome!r}, status {answer.status}"
+        if outcome not in VALID_OUTCOMES:
+            history.fault = f"outcome {outcome!r}, status {answer.status}"
             outcome = "answered"
         elif outcome == "answered" and not answer.header("Ebonybend-Error"):
-            progress.fault = answer_fault(wanted, answer)
+            history.fault = find_answer_fault(planned, answer)
         echo = read_answer(answer.body) if outcome == "answered" else None
         return evolve(
             attempt,
@@ -205,40 +217,40 @@
             error=answer.header("Ebonybend-Error") or "",
             server=echo.server if echo else "",
             retry_after_ms=int(answer.header("Retry-After-Ms") or 0),
-            covers_key=wanted.write
+            covers_key=planned.is_write
             and outcome == "not_run"
             and answer.header("Request-Id") is not None,
         )
 
-    def _operation(self, wanted: Wanted, progress: Progress) -> Operation:
+    def _operation(self, planned: Wanted, history: AttemptHistory) -> Operation:
         results = {"answered": "whole", "lost": "unknown", "not_sent": "not_run"}
-        result = results.get(progress.last, progress.last)
-        if result == "whole" and progress.fault:
+        result = results.get(history.last_result, history.last_result)
+        if result == "whole" and history.fault:
             result = "wrong"
-        if result == "not_run" and _may_have_run(wanted, progress):
+        if result == "not_run" and _may_have_run(planned, history):
             result = "unknown"
         return Operation(
-            wanted.name,
+            planned.name,
             self.name,
             self.region,
-            wanted.traffic.service,
-            wanted.traffic.method,
-            wanted.path,
-            wanted.started_at,
+            planned.traffic.service,
+            planned.traffic.method,
+            planned.path,
+            planned.started_at,
             monotonic(),
-            wanted.traffic.deadline_ms,
+            planned.traffic.deadline_ms,
             result,
-            tuple(progress.attempts),
-            progress.fault,
+            tuple(history.attempts),
+            history.fault,
         )
 
 
-def _may_have_run(wanted: Wanted, progress: Progress) -> bool:
-    """Return whether a copy may have run although the last one did not."""
-    if not wanted.write and progress.last != "not_sent":
-        # The record says not run of the last copy of a read.
+def _may_have_run(planned: Wanted, history: AttemptHistory) -> bool:
+    """Return whether any attempt may have run although the last one did not."""
+    if not planned.is_write and history.last_result != "not_sent":
+        # The recorded result of a read is that of its last attempt.
         return False
-    for attempt in reversed(progress.attempts):
+    for attempt in reversed(history.attempts):
         if attempt.covers_key:
             return False
         if attempt.result in ("lost", "unknown"):
@@ -246,22 +258,22 @@
     return False
 
 
-def answer_fault(wanted: Wanted, answer: HttpAnswer) -> str:
-    """Return why an answer is not the whole answer to the request, or nothing."""
+def find_answer_fault(planned: Wanted, answer: HttpAnswer) -> str:
+    """Return why an answer is not the whole answer to the request, or ""."""
     echo = read_answer(answer.body)
     if answer.status != 200 or echo is None:
         return f"status {answer.status}, {len(answer.body)} bytes not whole"
-    if echo.path != wanted.path:
+    if echo.path != planned.path:
         return f"answer to {echo.path}"
-    if echo.request_checksum != body_checksum(wanted.body):
+    if echo.request_checksum != body_checksum(planned.body):
         return "answer to another body"
-    if not echo.request_id.startswith(f"{wanted.name}."):
+    if not echo.request_id.startswith(f"{planned.name}."):
         return f"answer to request {echo.request_id}"
     return ""
 
 
-class Load:
-    """The callers of all regions and their open-loop arrivals."""
+class LoadGenerator:
+    """Generate open-loop requests from the clients of all regions."""
 
     def __init__(self, reactor: Any, plan: LoadPlan, records: BinaryIO):
         self.reactor = reactor
@@ -270,38 +282,40 @@
         self.random = Random(plan.seed)
         self.ends_at = monotonic() + plan.duration_s
         self.number = 0
-        self.running = 0
+        self.in_flight = 0
         self.done: Deferred[None] = Deferred()
 
     async def run(self) -> None:
-        """Send for the planned time, then wait for the last answers."""
+        """Send requests for the planned time, then wait for the last answers."""
         for load in self.plan.regions:
             numbers = range(len(load.callers))
             callers = [Caller(self.reactor, load, x) for x in numbers]
             for traffic in load.traffic:
                 self._schedule(callers, traffic, monotonic())
         await sleep(self.reactor, self.plan.duration_s)
-        while self.running:
-            await sleep(self.reactor, RETRY_PAUSE_S)
+        while self.in_flight:
+            await sleep(self.reactor, RETRY_DELAY_S)
         self.records.flush()
 
     def _schedule(
         self, callers: list[Caller], traffic: Traffic, previous: float
     ) -> None:
-        """Plan the next arrival, whether or not earlier requests have ended."""
+        """Schedule the next request, whether or not earlier ones have ended."""
         if traffic.rate <= 0:
             return
         at = previous + self.random.expovariate(traffic.rate)
         if at < self.ends_at:
             delay = max(at - monotonic(), 0.0)
-            self.reactor.callLater(delay, self._arrive, callers, traffic, at)
+            self.reactor.callLater(delay, self._start_operation, callers, traffic, at)
 
-    def _arrive(self, callers: list[Caller], traffic: Traffic, at: float) -> None:
+    def _start_operation(
+        self, callers: list[Caller], traffic: Traffic, at: float
+    ) -> None:
         self._schedule(callers, traffic, at)
         caller = self.random.choice(callers)
-        Deferred.fromCoroutine(self._perform(caller, self._want(traffic, at)))
+        Deferred.fromCoroutine(self._perform(caller, self._plan_operation(traffic, at)))
 
-    def _want(self, traffic: Traffic, at: float) -> Wanted:
+    def _plan_operation(self, traffic: Traffic, at: float) -> Wanted:
         self.number += 1
         name = f"{self.plan.seed}-{self.number}"
         size = self.random.randint(traffic.smallest_answer, traffic.largest_answer)
@@ -309,24 +323,24 @@
         body = f"body of {name}".encode() if traffic.method == "POST" else b""
         return Wanted(name, traffic, path, body, at)
 
-    async def _perform(self, caller: Caller, wanted: Wanted) -> None:
-        self.running += 1
+    async def _perform(self, caller: Caller, planned: Wanted) -> None:
+        self.in_flight += 1
         try:
-            operation = await caller.perform(wanted)
+            operation = await caller.perform(planned)
             self.records.write(json.encode(operation) + b"\n")
         finally:
-            self.running -= 1
+            self.in_flight -= 1
 
 
 def main(arguments: list[str]) -> None:
-    """Run the load of a plan file."""
+    """Run the load described in a plan file."""
     from twisted.internet import reactor
 
     plan = from_json(Path(arguments[1]).read_bytes(), LoadPlan)
 
     async def start() -> None:
         with Path(plan.records).open("wb") as records:
-            await Load(reactor, plan, records).run()
+            await LoadGenerator(reactor, plan, records).run()
         reactor.stop()
 
     run(reactor, start)
--- a/bench/closed_loop.py
+++ b/bench/closed_loop.py
@@ -1,6 +1,6 @@
-"""A closed-loop load generator that costs less than what it measures.
+"""A closed-loop load generator with little overhead of its own.
 
-It keeps one request in flight on each connection and prints one JSON object.
+Keep one request in flight on each connection and print one JSON object.
 """
 
 import sys
@@ -25,8 +25,8 @@
 
 
 @define
-class LoadResult:
-    """What a load generator saw."""
+class Measurements:
+    """The requests of one run and their latencies."""
 
     requests: int = 0
     failures: int = 0
@@ -43,7 +43,7 @@
 
 @define
 class LoadSummary:
-    """The percentiles of one run."""
+    """The rate and latency percentiles of one run."""
 
     requests: int
     failures: int
@@ -53,7 +53,7 @@
 
 
 class _Connection(Protocol):
-    """Send the same request again after each whole answer."""
+    """Send the request again after each whole answer."""
 
     def connectionMade(self) -> None:
         self.buffer = b""
@@ -61,7 +61,7 @@
         self.send()
 
     def send(self) -> None:
-        self.sent = perf_counter()
+        self.sent_at = perf_counter()
         self.transport.write(self.factory.request)
 
     def dataReceived(self, data: bytes) -> None:
@@ -75,40 +75,42 @@
         if len(self.buffer) < end + len(HEADER_END) + length:
             return
         self.buffer = b""
-        self.factory.record(perf_counter() - self.sent, head.split(b" ", 2)[1])
+        self.factory.record_answer(
+            perf_counter() - self.sent_at, head.split(b" ", 2)[1]
+        )
         self.send()
 
     def connectionLost(self, reason=connectionDone) -> None:
-        self.factory.lost()
+        self.factory.record_lost_connection()
 
 
-class _Load(ClientFactory):
+class _LoadFactory(ClientFactory):
     protocol = _Connection
     noisy = False
 
     def __init__(self, request: bytes):
         self.request = request
-        self.result = LoadResult()
+        self.measurements = Measurements()
         self.measuring = False
 
-    def record(self, seconds: float, status: bytes) -> None:
+    def record_answer(self, seconds: float, status: bytes) -> None:
         if not self.measuring:
             return
-        self.result.requests += 1
-        self.result.failures += status != b"200"
-        self.result.latencies_ms.append(seconds * 1e3)
+        self.measurements.requests += 1
+        self.measurements.failures += status != b"200"
+        self.measurements.latencies_ms.append(seconds * 1e3)
 
-    def lost(self) -> None:
+    def record_lost_connection(self) -> None:
         if self.measuring:
-            self.result.failures += 1
+            self.measurements.failures += 1
 
-    def start(self) -> None:
+    def start_measuring(self) -> None:
         self.measuring = True
-        self.started = perf_counter()
+        self.started_at = perf_counter()
 
-    def stop(self) -> None:
+    def stop_measuring(self) -> None:
         self.measuring = False
-        self.result.seconds = perf_counter() - self.started
+        self.measurements.seconds = perf_counter() - self.started_at
         reactor.stop()
 
 
@@ -116,19 +118,19 @@
     """Run the load and print its summary."""
     host, port = split_address(_TARGET.value)
     request = f"GET {_PATH.value} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
-    load = _Load(request)
+    load = _LoadFactory(request)
     for _ in range(_CONNECTIONS.value):
         reactor.connectTCP(host, port, load)
-    reactor.callLater(_WARM_UP.value, load.start)
-    reactor.callLater(_WARM_UP.value + _SECONDS.value, load.stop)
+    reactor.callLater(_WARM_UP.value, load.start_measuring)
+    reactor.callLater(_WARM_UP.value + _SECONDS.value, load.stop_measuring)
     reactor.run()
-    result = load.result
+    measurements = load.measurements
     summary = LoadSummary(
-        result.requests,
-        result.failures,
-        result.requests / result.seconds,
-        result.percentile(0.5),
-        result.percentile(0.99),
+        measurements.requests,
+        measurements.failures,
+        measurements.requests / measurements.seconds,
+        measurements.percentile(0.5),
+        measurements.percentile(0.99),
     )
     sys.stdout.buffer.write(to_json(summary) + b"\n")
 
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,4 +1,4 @@
-"""Show a deployment under load with a kill, a drain and a change of rules."""
+"""Demonstrate a deployment under load with a kill, a drain and a rules change."""
 
 import sys
 from pathlib import Path
@@ -22,7 +22,7 @@
 from standins.command import parse_flags
 
 LOAD_S = 24.0
-# Long enough that the kill and the drain meet requests in flight.
+# Long enough that requests are in flight at the kill and at the drain.
 SERVICE_MS = 60.0
 SHAPE = LoadShape(read_rate=20.0, write_rate=10.0)
 BEFORE_KILL_S = 5.0
@@ -30,18 +30,18 @@
 BEFORE_RULE_S = 4.0
 EFFECT_TIMEOUT_S = 10.0
 POLL_S = 0.05
-BUSY_TRIES = 20
+MAX_BUSY_SEARCHES = 20
 AUTHOR = "Ben (operations)"
 
 
 @define
 class Timings:
-    """When each event of the demonstration took effect, in seconds after it."""
+    """The time that each event of the demonstration took to take effect."""
 
     fleet_start_s: float = 0.0
     rules_in_force_s: float = 0.0
-    kill_unlisted_s: float | None = None
-    rule_in_force_s: float | None = None
+    unlisted_s: float | None = None
+    rule_change_s: float | None = None
     drained: str = ""
     last_new_work_s: float = 0.0
     drain_s: float = 0.0
@@ -49,12 +49,12 @@
 
 
 def rules_path(plan: DeploymentPlan) -> Path:
-    """Return the rules file of a deployment."""
+    """Return the path of a deployment's rules file."""
     return Path(__file__).parent / "rules" / f"{plan.name}.rules"
 
 
-def changed_rules(plan: DeploymentPlan, directory: Path) -> Path:
-    """Write and return the rules file that the demonstration changes to."""
+def write_changed_rules(plan: DeploymentPlan, directory: Path) -> Path:
+    """Write the rules file that the demonstration changes to; return its path."""
     regions = [region.name for region in plan.deployment.regions]
     service = plan.deployment.services[0].name
     shift = (
@@ -67,32 +67,32 @@
     return path
 
 
-def wait_unlisted(fleet: Fleet, name: str, asked: str) -> float | None:
-    """Return the seconds until look-ups no longer list an instance."""
+def wait_until_unlisted(fleet: Fleet, name: str, queried: str) -> float | None:
+    """Return the seconds until lookups no longer list an instance; None on timeout."""
     started = monotonic()
     while monotonic() - started < EFFECT_TIMEOUT_S:
-        if name not in listed(fleet, asked):
+        if name not in listed_instances(fleet, queried):
             return monotonic() - started
         sleep(POLL_S)
     return None
 
 
-def listed(fleet: Fleet, asked: str) -> tuple[str, ...]:
-    """Return the instances that an instance's look-up answer names."""
+def listed_instances(fleet: Fleet, queried: str) -> tuple[str, ...]:
+    """Return the instances listed in the lookup answer of the queried instance."""
     region = fleet.plan.deployment.regions[0].name
     client = fleet.addresses.client_ip(region, 1)
-    address = fleet.addresses.public(asked).listen
+    address = fleet.addresses.public(queried).listen
     answer = call("GET", address, f"/v1/lookup?client={client}")
     try:
-        found = from_json(answer.body, LookupAnswer)
+        lookup = from_json(answer.body, LookupAnswer)
     except SteeringError:
         return ()
-    return tuple(x.name for x in found.instances)
+    return tuple(x.name for x in lookup.instances)
 
 
 def busy_server(fleet: Fleet) -> str:
-    """Return a backend server that runs requests, or the first."""
-    for _ in range(BUSY_TRIES):
+    """Return a backend server with requests in flight, or the first one."""
+    for _ in range(MAX_BUSY_SEARCHES):
         for server in fleet.plan.servers:
             address = fleet.addresses.server(server.name).listen
             health = from_json(call("GET", address, "/health").body, Health)
@@ -101,29 +101,29 @@
     return fleet.plan.servers[0].name
 
 
-def disturb(fleet: Fleet, timings: Timings) -> None:
+def inject_events(fleet: Fleet, timings: Timings) -> None:
     """Kill an instance, drain a backend server and change a rule."""
-    asked, killed = fleet.plan.instances[:2]
+    queried, killed = fleet.plan.instances[:2]
     sleep(BEFORE_KILL_S)
     fleet.kill_instance(killed)
     fleet.unlist_instance(killed)
-    timings.kill_unlisted_s = wait_unlisted(fleet, killed, asked)
+    timings.unlisted_s = wait_until_unlisted(fleet, killed, queried)
     sleep(BEFORE_DRAIN_S)
     fleet.drain_server(busy_server(fleet))
     sleep(BEFORE_RULE_S)
-    path = changed_rules(fleet.plan, fleet.directory)
+    path = write_changed_rules(fleet.plan, fleet.directory)
     started = monotonic()
     try:
         apply_rules(
-            fleet.addresses.admin(asked), path, AUTHOR, "patch the first region"
+            fleet.addresses.admin(queried), path, AUTHOR, "patch the first region"
         )
-        timings.rule_in_force_s = monotonic() - started
+        timings.rule_change_s = monotonic() - started
     except RuntimeError as error:
         timings.problems.append(str(error))
 
 
 def measure_drain(fleet: Fleet, timings: Timings) -> None:
-    """Find when the drained server got its last new work and ended its last request."""
+    """Record when the drained server last received and last ended a request."""
     drained = next(x for x in fleet.events if x.event == "drain_server")
     timings.drained = drained.name
     events = read_server_events([fleet.server_history(drained.name)])
@@ -134,24 +134,24 @@
     timings.drain_s = max(ended, default=0.0)
 
 
-def seconds(value: float | None) -> str:
-    """Return a time for people."""
+def format_seconds(value: float | None) -> str:
+    """Return a duration as text."""
     return "not seen" if value is None else f"{value:.2f} s"
 
 
-def show(
+def print_summary(
     plan: DeploymentPlan, timings: Timings, operations: list[Operation], report: Report
 ) -> None:
-    """Print the table, the events and the last line."""
+    """Print the table, the events and the result line."""
     print(format_table(HEADINGS, operation_rows(operations)))
     print()
-    print(f"fleet ready after            {seconds(timings.fleet_start_s)}")
-    print(f"first rules in force after   {seconds(timings.rules_in_force_s)}")
-    print(f"killed instance unlisted in  {seconds(timings.kill_unlisted_s)}")
-    print(f"changed rule in force after  {seconds(timings.rule_in_force_s)}")
+    print(f"fleet ready after            {format_seconds(timings.fleet_start_s)}")
+    print(f"first rules in force after   {format_seconds(timings.rules_in_force_s)}")
+    print(f"killed instance unlisted in  {format_seconds(timings.unlisted_s)}")
+    print(f"changed rule in force after  {format_seconds(timings.rule_change_s)}")
     print(f"backend server drained       {timings.drained}")
-    print(f"last new work after drain    {seconds(timings.last_new_work_s)}")
-    print(f"drain time (last work ended) {seconds(timings.drain_s)}")
+    print(f"last new work after drain    {format_seconds(timings.last_new_work_s)}")
+    print(f"drain time (last work ended) {format_seconds(timings.drain_s)}")
     print(f"requests started on servers  {report.started}, shed {report.sheds}")
     print(f"above the slots              {report.over_slots}")
     print(f"late work on leaving servers {report.late_work}")
@@ -176,11 +176,11 @@
         apply_rules(admin, rules_path(plan), AUTHOR, "first rules")
         timings.rules_in_force_s = monotonic() - started
         load = play(fleet, SHAPE, LOAD_S)
-        disturb(fleet, timings)
+        inject_events(fleet, timings)
         load.wait()
         measure_drain(fleet, timings)
         report = check_run(fleet, [load])
-        show(plan, timings, load.operations(), report)
+        print_summary(plan, timings, load.operations(), report)
     broken = report.wrong or report.duplicates or report.untruthful
     return 1 if broken or not report.sent else 0
 
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments that the system is built for."""
+"""The two deployments that the system is designed for."""
 
 from attrs import evolve, field, frozen
 
@@ -11,8 +11,8 @@
     Service,
 )
 
-# One machine can't carry the real links' rates through the fault proxy, so the
-# links and their budgets are both scaled by this factor.
+# One machine can't forward the real link rates through the fault proxy, so the
+# rates and budgets of links are both scaled by this factor.
 LINK_RATE_FACTOR = 0.01
 BITS_PER_BYTE = 8
 DOMAINS_PER_REGION = 2
@@ -21,7 +21,7 @@
 
 @frozen
 class PlannedServer:
-    """A backend server of a deployment."""
+    """A backend server in a deployment plan."""
 
     name: str
     service: str
@@ -31,17 +31,18 @@
 
 @frozen
 class DeploymentPlan:
-    """A deployment with the machines in it and its latencies."""
+    """A deployment with its backend servers, client latency and client roles."""
 
     name: str
     deployment: Deployment
     client_latency_ms: float
-    # Region of the platform's store.
+    # Region of the platform's object store.
     store_region: str
     # The service whose requests are writes.
     write_service: str
     servers: tuple[PlannedServer, ...]
-    cast: tuple[str, ...] = field(default=())
+    # Words used in the names of clients.
+    client_roles: tuple[str, ...] = field(default=())
 
     @property
     def instances(self) -> tuple[str, ...]:
@@ -51,7 +52,7 @@
 
 
 def _domains(regions: tuple[str, ...]) -> tuple[FailureDomain, ...]:
-    """Return the failure domains; the first has two entry instances."""
+    """Return the failure domains; the first has two instances, the others one."""
     domains = []
     for region in regions:
         for number in range(1, DOMAINS_PER_REGION + 1):
@@ -90,7 +91,7 @@
 
 
 def blue_mahoe() -> DeploymentPlan:
-    """Return the deployment of Blue Mahoe: latency first."""
+    """Return the deployment of Blue Mahoe, which weights latency over headroom."""
     regions = ("Kingston", "Montego", "Mandeville")
     services = ("ride-history", "sign-off-filing", "certificate-registry")
     domains = _domains(regions)
@@ -115,7 +116,7 @@
 
 
 def kadar() -> DeploymentPlan:
-    """Return the deployment of Kádár: headroom first."""
+    """Return the deployment of Kádár, which weights headroom over latency."""
     # Names are ASCII so that they can be part of keys and header values.
     regions = ("Tokaj", "Eger", "Villany")
     services = ("inventory", "repair-orders", "cask-records")
@@ -143,17 +144,17 @@
 def reduced(
     plan: DeploymentPlan, domains: tuple[str, ...], services: tuple[str, ...] = ()
 ) -> DeploymentPlan:
-    """Return a deployment with some of its failure domains and services only.
+    """Return a deployment reduced to some failure domains and services.
 
-    All services are kept if none are given.
+    An empty services keeps all of them.
     """
     services = services or tuple(x.name for x in plan.deployment.services)
-    kept = tuple(x for x in plan.deployment.failure_domains if x.name in domains)
-    names = {domain.region for domain in kept}
+    selected = tuple(x for x in plan.deployment.failure_domains if x.name in domains)
+    names = {domain.region for domain in selected}
     deployment = evolve(
         plan.deployment,
         regions=tuple(x for x in plan.deployment.regions if x.name in names),
-        failure_domains=kept,
+        failure_domains=selected,
         services=tuple(x for x in plan.deployment.services if x.name in services),
         links=tuple(x for x in plan.deployment.links if {x.source, x.target} <= names),
     )
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -28,30 +28,30 @@
 LOG_TAIL_LENGTH = 2000
 ROLES = ("entry", "control")
 SEEDS_PER_CONTROL = 3
-# Callers per region that the client map names.
-MOST_CALLERS = 200
+# Clients per region in the client map.
+MAX_CLIENTS = 200
 
 
 @frozen(kw_only=True)
 class FleetOptions:
-    """What runs and how it is set."""
+    """Which processes of a fleet run, and their settings."""
 
-    # Names of the instances that run; None for all.
+    # Names of the instances to start; None for all.
     instances: tuple[str, ...] | None = None
     service_ms: float = 20.0
     cold_s: float = 1.0
     server_restart_s: float | None = 1.0
-    # Further flags of every daemon.
+    # Additional flags for every daemon.
     daemon_flags: tuple[str, ...] = ()
-    # Directory for logs and histories; None for a temporary one.
+    # Directory for logs and server histories; None for a temporary one.
     directory: Path | None = None
 
 
 @frozen
 class FleetEvent:
-    """Something that was done to the fleet."""
+    """A change or fault injected into the fleet."""
 
-    # Seconds of the machine's monotonic clock.
+    # Monotonic time in seconds.
     at: float
     event: str
     name: str
@@ -94,13 +94,13 @@
 
     @property
     def instances(self) -> tuple[str, ...]:
-        """Return the names of the instances that run."""
+        """Return the names of the instances in this fleet."""
         if self.options.instances is None:
             return self.plan.instances
         return self.options.instances
 
-    def note(self, event: str, name: str) -> None:
-        """Record something that was done to the fleet."""
+    def record_event(self, event: str, name: str) -> None:
+        """Record a change or fault injected into the fleet."""
         self.events.append(FleetEvent(monotonic(), event, name))
 
     # Start
@@ -114,7 +114,7 @@
             self.start_instance(instance)
         self.wait_until(self._servers_ready, "backend servers are ready")
         self.wait_until(self._instances_started, "instances are ready")
-        self.wait_until(self._all_serving, "instances serve every service")
+        self.wait_until(self._all_instances_serve, "instances serve every service")
 
     def _start_platform(self) -> None:
         self._start_process(
@@ -133,7 +133,7 @@
         sites = tuple(x.name for x in self.plan.deployment.failure_domains)
         blocks = [
             (int(ip_address(client)) & BLOCK_MASK, sites.index(site))
-            for client, site in self.addresses.client_blocks(MOST_CALLERS).items()
+            for client, site in self.addresses.client_blocks(MAX_CLIENTS).items()
         ]
         shard = ClientMapObject(encode_shard(sites, blocks))
         self.write_object("clientmap", "0000", shard)
@@ -170,8 +170,8 @@
         self.processes.start(ProcessSpec(name, module, arguments, restart))
 
     def start_instance(self, name: str) -> None:
-        """Start an instance's two processes and list it as live."""
-        self.list_instance(name, LifeState.LIVE)
+        """Register an instance as live and start its two processes."""
+        self.register_instance(name, LifeState.LIVE)
         for role in ROLES:
             arguments = self._daemon_arguments(name, role)
             spec = ProcessSpec(f"{name}-{role}", "ebonybend.daemon", arguments)
@@ -207,13 +207,16 @@
     # Readiness
 
     def wait_until(
-        self, done: Callable[[], bool], what: str, timeout_s: float = READY_TIMEOUT_S
+        self,
+        condition: Callable[[], bool],
+        what: str,
+        timeout_s: float = READY_TIMEOUT_S,
     ) -> float:
-        """Wait until something holds; return the seconds or raise TimeoutError."""
+        """Wait until a condition holds; return the seconds or raise TimeoutError."""
         started = monotonic()
-        while not done():
+        while not condition():
             if monotonic() - started > timeout_s:
-                raise TimeoutError(f"not in {timeout_s:.0f} s: {what}")
+                raise TimeoutError(f"timed out after {timeout_s:.0f} s: {what}")
             sleep(POLL_S)
         return monotonic() - started
 
@@ -221,18 +224,20 @@
         return all(self.server_ready(x.name) for x in self.plan.servers)
 
     def server_ready(self, name: str) -> bool:
-        """Return whether a backend server answers."""
+        """Return whether a backend server answers health checks."""
         return call("GET", self.addresses.server(name).listen, "/health").status == 200
 
     def _instances_started(self) -> bool:
-        """Return whether all instances are ready; raise if a process has ended."""
+        """Return whether all instances are ready; raise RuntimeError on a crash."""
         for _, name in self.processes.crashes:
             log = (self.directory / f"{name}.log").read_text()
-            raise RuntimeError(f"{name} ended at its start: {log[-LOG_TAIL_LENGTH:]}")
+            raise RuntimeError(
+                f"{name} exited during startup: {log[-LOG_TAIL_LENGTH:]}"
+            )
         return self.instances_ready()
 
     def instances_ready(self) -> bool:
-        """Return whether every instance serves callers."""
+        """Return whether every instance is ready for clients."""
         return all(self.instance_ready(name) for name in self.instances)
 
     def instance_ready(self, name: str) -> bool:
@@ -243,10 +248,10 @@
             for address in (entry, self.addresses.admin(name))
         )
 
-    def _all_serving(self) -> bool:
+    def _all_instances_serve(self) -> bool:
         """Return whether every instance has slots for every service.
 
-        A new incarnation owns no slot until the holding time has passed.
+        A new incarnation owns no slot until the hold time has passed.
         """
         return all(self.instance_serves(name) for name in self.instances)
 
@@ -258,30 +263,30 @@
             for service in self.plan.deployment.services
         )
 
-    # The platform's lists
+    # The platform's objects
 
     def write_object(self, kind: str, name: str, value: object) -> None:
-        """Write an object as the platform's own machinery does, despite faults."""
+        """Write an object through the platform's admin address, despite faults."""
         path = f"/v1/objects/{kind}/{name}"
         must_call("PUT", self.addresses.platform_faults, path, to_json(value))
 
     def delete_object(self, kind: str, name: str) -> None:
-        """Delete an object as the platform's own machinery does."""
+        """Delete an object through the platform's admin address."""
         path = f"/v1/objects/{kind}/{name}"
         must_call("DELETE", self.addresses.platform_faults, path)
 
-    def list_instance(self, name: str, state: LifeState) -> None:
-        """Put an instance on the platform's list."""
+    def register_instance(self, name: str, state: LifeState) -> None:
+        """Register an instance with the platform."""
         domain = self.plan.deployment.domain_of_instance(name)
         address = self.addresses.exchange(name).advertise
         instance = Instance(name, domain.name, address, state)
         self.write_object("instance", name, instance)
 
     def list_server(self, name: str, state: LifeState) -> None:
-        """Put a backend server on the platform's list."""
+        """Register a backend server with the platform."""
         server = next(x for x in self.plan.servers if x.name == name)
         address = self.addresses.server(name).advertise
-        listed = BackendServer(
+        registered = BackendServer(
             name,
             server.service,
             server.failure_domain,
@@ -289,49 +294,49 @@
             server.slots,
             state=state,
         )
-        self.write_object("server", name, listed)
+        self.write_object("server", name, registered)
 
-    # Disturbances
+    # Fault injection
 
     def kill_instance(self, name: str) -> None:
-        """End an instance's processes at once."""
-        self.note("kill_instance", name)
+        """Kill an instance's processes."""
+        self.record_event("kill_instance", name)
         for role in ROLES:
             self.processes.kill(f"{name}-{role}")
 
     def kill_role(self, name: str, role: str) -> None:
-        """End one process of an instance at once."""
-        self.note(f"kill_{role}", name)
+        """Kill one process of an instance."""
+        self.record_event(f"kill_{role}", name)
         self.processes.kill(f"{name}-{role}")
 
     def restart_instance(self, name: str) -> None:
-        """Start an instance again under its name."""
-        self.note("restart_instance", name)
+        """Start an instance again under the same name."""
+        self.record_event("restart_instance", name)
         self.start_instance(name)
 
     def pause_instance(self, name: str) -> None:
-        """Stop an instance's processes from running."""
-        self.note("pause_instance", name)
+        """Suspend an instance's processes."""
+        self.record_event("pause_instance", name)
         for role in ROLES:
             self.processes.signal(f"{name}-{role}", signal.SIGSTOP)
 
     def resume_instance(self, name: str) -> None:
-        """Let a paused instance run again."""
-        self.note("resume_instance", name)
+        """Resume a paused instance."""
+        self.record_event("resume_instance", name)
         for role in ROLES:
             self.processes.signal(f"{name}-{role}", signal.SIGCONT)
 
     def unlist_instance(self, name: str) -> None:
-        """Take an instance that has gone off the platform's list."""
-        self.note("unlist_instance", name)
+        """Remove a terminated instance from the platform."""
+        self.record_event("unlist_instance", name)
         self.delete_object("instance", name)
 
     def stop_instance(
         self, name: str, timeout_s: float = 30.0
     ) -> dict[str, int | None]:
         """Stop an instance gracefully; return its processes' exit statuses."""
-        self.note("stop_instance", name)
-        self.list_instance(name, LifeState.LEAVING)
+        self.record_event("stop_instance", name)
+        self.register_instance(name, LifeState.LEAVING)
         names = [f"{name}-{role}" for role in ROLES]
         for process in names:
             self.processes.terminate(process)
@@ -344,49 +349,49 @@
         must_call("POST", self.addresses.server_faults(name), "/faults", faults)
 
     def drain_server(self, name: str) -> None:
-        """Let a backend server leave: it drains, and the list has it as leaving."""
-        self.note("drain_server", name)
+        """Drain a backend server and register it as leaving."""
+        self.record_event("drain_server", name)
         self.set_server_faults(name, ServerFaults(draining=True))
         self.list_server(name, LifeState.LEAVING)
 
     def remove_server(self, name: str) -> None:
-        """End a backend server and take it off the platform's list."""
-        self.note("remove_server", name)
+        """Kill a backend server and remove it from the platform."""
+        self.record_event("remove_server", name)
         self.processes.kill(name)
         self.delete_object("server", name)
 
     def kill_server(self, name: str) -> None:
-        """End a backend server at once, as a crash: it starts again after a delay."""
-        self.note("kill_server", name)
+        """Kill a backend server as in a crash; it is restarted after a delay."""
+        self.record_event("kill_server", name)
         self.processes.signal(name, signal.SIGKILL)
 
     def set_platform_faults(self, faults: PlatformFaults) -> None:
         """Replace the platform's faults."""
-        self.note("platform_faults", str(faults))
+        self.record_event("platform_faults", str(faults))
         must_call("POST", self.addresses.platform_faults, "/faults", faults)
 
     def add_proxy_rules(self, *rules: ProxyRule) -> None:
-        """Add faults between addresses; a rule replaces the one of the same name."""
+        """Add network faults; a rule replaces an earlier one with the same name."""
         for rule in rules:
-            self.note("proxy_rule", rule.name)
+            self.record_event("proxy_rule", rule.name)
             self.faults[rule.name] = rule
         self._configure_proxy()
 
     def remove_proxy_rules(self, *names: str) -> None:
-        """Remove some faults between addresses."""
+        """Remove the network faults with the given names."""
         for name in names:
-            self.note("proxy_rule_removed", name)
+            self.record_event("proxy_rule_removed", name)
             self.faults.pop(name, None)
         self._configure_proxy()
 
     def clear_proxy_rules(self) -> None:
-        """Remove all faults between addresses."""
-        self.note("proxy_rules_cleared", "")
+        """Remove all network faults."""
+        self.record_event("proxy_rules_cleared", "")
         self.faults.clear()
         self._configure_proxy()
 
     def _configure_proxy(self) -> None:
-        # Faults are injected from several threads, and the newest must be sent last.
+        # Several threads inject faults, and the newest configuration must be sent last.
         with self.proxy_lock:
             config = self.addresses.proxy_config()
             rules = (*config.rules, *tuple(self.faults.values()))
@@ -396,9 +401,9 @@
     # Records
 
     def server_history(self, name: str) -> Path:
-        """Return the file of a backend server's history."""
+        """Return the path of a backend server's history."""
         return self.directory / f"{name}.history.jsonl"
 
     def server_histories(self) -> list[Path]:
-        """Return the histories of all backend servers."""
+        """Return the paths of all backend servers' histories."""
         return [self.server_history(x.name) for x in self.plan.servers]
--- a/bench/history.py
+++ b/bench/history.py
@@ -1,4 +1,4 @@
-"""Check the records of callers against the histories of backend servers."""
+"""Check the records of clients against the histories of backend servers."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping
@@ -11,33 +11,33 @@
 from bench.load import Operation
 from standins.server_history import ServerEvent
 
-# A leaving backend server receives no new work after this time (design 1.2).
+# A leaving backend server receives no new requests after this time.
 LEAVING_LIMIT_S = 3.0
 EXAMPLES_PER_FAULT = 5
 
 
 @define
 class Report:
-    """What callers and backend servers recorded."""
+    """Counts and faults from the records of clients and backend servers."""
 
     sent: int = 0
     whole: int = 0
     not_run: int = 0
     unknown: int = 0
     bad_request: int = 0
-    # Answers that are not whole or belong to another request.
+    # Answers that are incomplete or belong to another request.
     wrong: int = 0
     # Writes that ran more than once.
     duplicates: int = 0
-    # Operations or attempts that were refused as not run and did run.
+    # Operations or attempts that were reported as not run but did run.
     untruthful: int = 0
-    # Writes answered as done that no backend server ran.
+    # Writes answered with success that no backend server ran.
     invented: int = 0
     # Events with more requests in flight than slots.
     over_slots: int = 0
     # Requests that reached a backend server more than 3 s after it began to leave.
     late_work: int = 0
-    # Requests that a backend server refused for want of a free slot.
+    # Requests that a backend server refused because no slot was free.
     sheds: int = 0
     started: int = 0
     highest_in_flight: dict[str, int] = field(factory=dict)
@@ -46,7 +46,7 @@
 
     @property
     def ok(self) -> bool:
-        """Return whether nothing that must always hold was broken."""
+        """Return whether all invariants hold."""
         broken = (
             self.wrong,
             self.duplicates,
@@ -58,14 +58,14 @@
         return not any(broken)
 
     def line(self) -> str:
-        """Return the counts in one line."""
+        """Return the result line."""
         return (
             f"result: sent={self.sent} whole={self.whole} not_run={self.not_run} "
             f"unknown={self.unknown} wrong={self.wrong} duplicates={self.duplicates}"
         )
 
     def fault(self, name: str, example: str) -> None:
-        """Count a fault and keep its first examples."""
+        """Count a fault and keep the first examples of its kind."""
         setattr(self, name, getattr(self, name) + 1)
         examples = self.examples.setdefault(name, [])
         if len(examples) < EXAMPLES_PER_FAULT:
@@ -73,7 +73,7 @@
 
 
 def read_server_events(paths: Iterable[Path]) -> list[ServerEvent]:
-    """Read server histories in the order of time."""
+    """Return the events of server histories, sorted by time."""
     events = []
     for path in paths:
         if path.exists():
@@ -88,14 +88,14 @@
         try:
             events.append(json.decode(line, type=ServerEvent))
         except DecodeError:
-            # Only the last line can be cut off, by the end of the process.
+            # Only the last line can be truncated, when the process was killed.
             if number != len(lines) - 1:
                 raise
     return events
 
 
 def operation_name(event: ServerEvent) -> str:
-    """Return the name of the operation that a request belongs to, or nothing."""
+    """Return the name of the operation that a request belongs to, or ""."""
     values = parse_qs(urlsplit(event.path).query).get("op")
     return values[0] if values else ""
 
@@ -107,7 +107,7 @@
 ) -> Report:
     """Return the counts and faults of a run.
 
-    The times in leaving_since are those at which backend servers began to leave.
+    leaving_since maps a backend server to the time at which it began to leave.
     """
     report = Report()
     events = list(events)
@@ -137,17 +137,17 @@
     servers = ", ".join(event.server for event in starts)
     if operation.method == "POST" and len(starts) > 1:
         report.fault("duplicates", f"{text} ran on {servers}")
-    if operation.result == "not_run" and _never_lost(operation) and starts:
+    if operation.result == "not_run" and _refusal_covers_all(operation) and starts:
         report.fault("untruthful", f"{text} was refused and ran on {servers}")
     if operation.method == "POST" and operation.result == "whole" and not starts:
         report.fault("invented", f"{text} was answered and did not run")
 
 
-def _never_lost(operation: Operation) -> bool:
-    """Return whether every attempt was refused, or the refused one is a write's.
+def _refusal_covers_all(operation: Operation) -> bool:
+    """Return whether the refusal implies that no attempt of the operation ran.
 
-    The refusal of a write covers all attempts under its key. A read's covers the one
-    attempt, and an earlier attempt with an unknown outcome may have run.
+    The refusal of a write covers all attempts under its key. That of a read covers one
+    attempt only, and an earlier attempt with an unknown outcome may have run.
     """
     if operation.method == "POST":
         return True
@@ -166,7 +166,7 @@
 
 
 def _check_keys(report: Report, operation: Operation, started_keys: set[str]) -> None:
-    """Count a write that was refused under a key with which it ran, then or later."""
+    """Record a fault if a write ran, at any time, under a key that was refused."""
     for attempt in operation.attempts:
         if attempt.covers_key and attempt.key in started_keys:
             text = f"attempt {attempt.request_id}: {attempt.error}"
@@ -177,10 +177,10 @@
 def _check_servers(
     report: Report, events: list[ServerEvent], leaving_since: Mapping[str, float]
 ) -> None:
-    highest: Counter[str] = Counter()
+    max_in_flight: Counter[str] = Counter()
     connections: Counter[str] = Counter()
     for event in events:
-        highest[event.server] = max(highest[event.server], event.in_flight)
+        max_in_flight[event.server] = max(max_in_flight[event.server], event.in_flight)
         connections[event.server] = max(connections[event.server], event.connections)
         if event.in_flight > event.slots:
             report.fault("over_slots", f"{event.server}: {event.in_flight}")
@@ -189,13 +189,13 @@
         if event.event == "refused" and not event.draining:
             report.sheds += 1
         _check_leaving(report, event, leaving_since.get(event.server))
-    report.highest_in_flight = dict(highest)
+    report.highest_in_flight = dict(max_in_flight)
     report.highest_connections = dict(connections)
 
 
 def _check_leaving(report: Report, event: ServerEvent, since: float | None) -> None:
     if since is None or event.event != "received":
         return
-    after = event.at - since
-    if after > LEAVING_LIMIT_S:
-        report.fault("late_work", f"{event.server}: {after:.1f} s after leaving")
+    delay_s = event.at - since
+    if delay_s > LEAVING_LIMIT_S:
+        report.fault("late_work", f"{event.server}: {delay_s:.1f} s after leaving")
--- a/bench/hops.py
+++ b/bench/hops.py
@@ -1,4 +1,4 @@
-"""Make the requests of a failure domain go through the entries of another one."""
+"""Force requests to hop to the entries of another failure domain."""
 
 from time import monotonic
 
@@ -7,8 +7,8 @@
 from standins.backend_server import ServerFaults
 from standins.echo import read_answer
 
-# Longer than the age that the sum of a domain's loads reaches in a table.
-SETTLED_S = 2.0
+# Longer than the maximum age of a domain's load summary in a routing table.
+STABLE_S = 2.0
 
 
 def service_servers(fleet: Fleet, service: str, domain: str) -> set[str]:
@@ -31,40 +31,42 @@
 def hop_everything(
     fleet: Fleet, service: str, domain: str, instance: str, to: str
 ) -> None:
-    """Drain a service in a domain; return when an instance uses another domain."""
+    """Drain a service in a domain; return when an instance only uses another domain."""
     set_domain_faults(fleet, service, domain, ServerFaults(draining=True))
     names = service_servers(fleet, service, to)
 
-    last_use = [monotonic()]
+    unstable_at = [monotonic()]
 
-    def hops() -> bool:
-        # A retry after a refusal of the own domain needs a token of the budget, so
-        # neither this entry nor its siblings may try that domain any more.
-        before = _received(fleet, service, domain)
-        server = served_by(fleet, service, instance)
-        if server not in names or before != _received(fleet, service, domain):
-            last_use[0] = monotonic()
-        return monotonic() - last_use[0] > SETTLED_S
+    def uses_target_domain() -> bool:
+        # A retry after a refusal in the drained domain needs a token of the retry
+        # budget, so neither this entry nor its siblings may still try that domain.
+        size_before = _history_size(fleet, service, domain)
+        server = serving_server(fleet, service, instance)
+        if server not in names or size_before != _history_size(fleet, service, domain):
+            unstable_at[0] = monotonic()
+        return monotonic() - unstable_at[0] > STABLE_S
 
-    fleet.wait_until(hops, "hops")
+    fleet.wait_until(uses_target_domain, "hops")
 
 
 def hop_nothing(fleet: Fleet, service: str, domain: str, instance: str) -> None:
-    """Undo hop_everything; return when the domain serves its requests again."""
+    """End the drain; return when the domain serves its own requests again."""
     set_domain_faults(fleet, service, domain, ServerFaults())
     names = service_servers(fleet, service, domain)
-    fleet.wait_until(lambda: served_by(fleet, service, instance) in names, "no hops")
+    fleet.wait_until(
+        lambda: serving_server(fleet, service, instance) in names, "no hops"
+    )
 
 
-def _received(fleet: Fleet, service: str, domain: str) -> int:
-    """Return the size of the histories of a domain's servers, which only grow."""
+def _history_size(fleet: Fleet, service: str, domain: str) -> int:
+    """Return the total size of the histories of a domain's servers, in bytes."""
     servers = service_servers(fleet, service, domain)
     files = [fleet.server_history(x) for x in servers]
     return sum(x.stat().st_size for x in files if x.exists())
 
 
-def served_by(fleet: Fleet, service: str, instance: str) -> str:
-    """Return the backend server that answers a read, or an empty name."""
+def serving_server(fleet: Fleet, service: str, instance: str) -> str:
+    """Send a read; return the backend server that answers it, or ""."""
     address = fleet.addresses.public(instance).listen
     answer = call("GET", address, f"/s/{service}/ready?service_ms=1")
     echo = read_answer(answer.body) if answer.status == 200 else None
--- a/bench/http_calls.py
+++ b/bench/http_calls.py
@@ -1,4 +1,4 @@
-"""Blocking HTTP calls for starting, watching and disturbing a fleet."""
+"""Blocking HTTP calls for controlling and monitoring a fleet."""
 
 from http.client import HTTPConnection, HTTPException
 from typing import Any
@@ -13,7 +13,7 @@
 
 @frozen
 class CallAnswer:
-    """The answer to a call; status 0 when there was none."""
+    """The answer to a call; status 0 if there was none."""
 
     status: int
     body: bytes
--- a/bench/keyed.py
+++ b/bench/keyed.py
@@ -1,4 +1,4 @@
-"""Send copies of keyed requests to chosen entries and record what each was told."""
+"""Send copies of keyed requests to chosen entries and record each answer."""
 
 from collections.abc import Iterable
 from concurrent.futures import ThreadPoolExecutor
@@ -9,7 +9,7 @@
 
 from attrs import define, evolve, field
 
-from bench.caller import LISTED_RESULTS, Wanted, answer_fault
+from bench.caller import VALID_OUTCOMES, Wanted, find_answer_fault
 from bench.fleet import Fleet
 from bench.history import Report, check, read_server_events
 from bench.http_calls import CallAnswer, must_call
@@ -19,41 +19,41 @@
 from ebonybend.codec import from_json
 
 CONNECT_TIMEOUT_S = 1.0
-# Time that a caller waits for an answer after its deadline.
+# Time that a client waits for an answer after its deadline.
 ANSWER_GRACE_S = 0.2
-CALLER_NUMBER = 77
-MOST_COPIES_AT_ONCE = 32
+CLIENT_NUMBER = 77
+MAX_CONCURRENT_COPIES = 32
 
 
 @define(eq=False)
 class KeyedRequest:
-    """One write, its key, and all copies of it that were sent."""
+    """A write, its key, and the attempts for all copies that were sent."""
 
-    wanted: Wanted
+    planned: Wanted
     key: str
     attempts: list[Attempt] = field(factory=list)
     fault: str = ""
     lock: Lock = field(factory=Lock)
-    numbers: count = field(factory=lambda: count(1))
+    attempt_numbers: count = field(factory=lambda: count(1))
 
     @property
     def results(self) -> list[AttemptResult]:
-        """Return the results of the copies in the order of their ends."""
+        """Return the results of the copies in the order in which they ended."""
         return [x.result for x in self.attempts]
 
     @property
     def result(self) -> OperationResult:
-        """Return what a caller may conclude from all copies."""
+        """Return the result that the attempts together imply."""
         if "answered" in self.results:
             return "wrong" if self.fault else "whole"
         if any(x.covers_key for x in self.attempts):
             return "not_run"
-        unsent = all(x in ("not_sent", "not_run") for x in self.results)
-        return "not_run" if unsent else "unknown"
+        none_ran = all(x in ("not_sent", "not_run") for x in self.results)
+        return "not_run" if none_ran else "unknown"
 
 
 class KeyedCaller:
-    """A caller that decides itself which entry gets which copy."""
+    """A client that sends each copy of a request to a chosen entry."""
 
     def __init__(self, fleet: Fleet, case: str, service: str, region: str):
         self.fleet = fleet
@@ -61,13 +61,13 @@
         self.region = region
         self.traffic = Traffic(service, "POST", 0.0, "/file")
         network = fleet.addresses.caller_network(region)
-        self.source = f"{network}{CALLER_NUMBER}"
+        self.source = f"{network}{CLIENT_NUMBER}"
         self.requests: list[KeyedRequest] = []
-        self.pool = ThreadPoolExecutor(MOST_COPIES_AT_ONCE)
+        self.pool = ThreadPoolExecutor(MAX_CONCURRENT_COPIES)
 
-    def prefix(self, owner: str, asked: str) -> str:
-        """Return the start of an instance's keys as another one lists it, or ""."""
-        address = self.fleet.addresses.public(asked).listen
+    def prefix(self, owner: str, queried: str) -> str:
+        """Return an owner's key prefix from the queried instance's lookup, or ""."""
+        address = self.fleet.addresses.public(queried).listen
         path = f"/v1/lookup?client={self.source}"
         answer = from_json(must_call("GET", address, path), LookupAnswer)
         return next((x.key_prefix for x in answer.instances if x.name == owner), "")
@@ -75,23 +75,23 @@
     def writes(
         self, owner: str, number: int, service_ms: int = 5, size: int = 300
     ) -> list[KeyedRequest]:
-        """Return new writes under keys of an instance; nothing is sent yet."""
+        """Create writes with keys owned by an instance, without sending them."""
         prefix = self.prefix(owner, owner)
-        made = []
+        created = []
         for _ in range(number):
             name = f"{self.case}-{len(self.requests) + 1}"
             path = f"/file?op={name}&size={size}&service_ms={service_ms}"
             body = f"body of {name}".encode()
-            wanted = Wanted(name, self.traffic, path, body, monotonic())
-            made.append(KeyedRequest(wanted, f"{prefix}~{name}"))
-            self.requests.append(made[-1])
-        return made
+            planned = Wanted(name, self.traffic, path, body, monotonic())
+            created.append(KeyedRequest(planned, f"{prefix}~{name}"))
+            self.requests.append(created[-1])
+        return created
 
     def send(
         self, request: KeyedRequest, instance: str, deadline_ms: int = 1000
     ) -> Attempt:
         """Send one copy and wait for its answer."""
-        request_id = f"{request.wanted.name}.{next(request.numbers)}"
+        request_id = f"{request.planned.name}.{next(request.attempt_numbers)}"
         attempt = Attempt(monotonic(), request_id, instance, request.key, "lost")
         host, port = split_address(self.fleet.addresses.public(instance).advertise)
         connection = HTTPConnection(
@@ -122,16 +122,16 @@
             "Deadline-Ms": str(deadline_ms),
         }
         connection.sock.settimeout(deadline_ms / 1000 + ANSWER_GRACE_S)
-        path = f"/s/{self.traffic.service}{request.wanted.path}"
+        path = f"/s/{self.traffic.service}{request.planned.path}"
         try:
-            connection.request("POST", path, request.wanted.body, headers)
+            connection.request("POST", path, request.planned.body, headers)
             response = connection.getresponse()
             body = response.read()
         except (OSError, HTTPException) as error:
             return evolve(attempt, error=repr(error))
-        return self._conclude(request, attempt, response, body)
+        return self._evaluate_answer(request, attempt, response, body)
 
-    def _conclude(
+    def _evaluate_answer(
         self,
         request: KeyedRequest,
         attempt: Attempt,
@@ -140,12 +140,14 @@
     ) -> Attempt:
         outcome = response.getheader("Ebonybend-Outcome")
         error = response.getheader("Ebonybend-Error") or ""
-        if outcome not in LISTED_RESULTS:
+        if outcome not in VALID_OUTCOMES:
             request.fault = f"outcome {outcome!r}, status {response.status}"
             outcome = "answered"
         elif outcome == "answered" and not error:
-            found = answer_fault(request.wanted, CallAnswer(response.status, body))
-            request.fault = request.fault or found
+            fault = find_answer_fault(
+                request.planned, CallAnswer(response.status, body)
+            )
+            request.fault = request.fault or fault
         return evolve(
             attempt,
             result=outcome,
@@ -160,7 +162,7 @@
         instances: Iterable[str],
         deadline_ms: int = 1000,
     ) -> None:
-        """Send the copies one after the other, so that none meets a full server."""
+        """Send the copies sequentially, so that none is refused by a full server."""
         targets = tuple(instances)
         for request in requests:
             for instance in targets:
@@ -172,7 +174,7 @@
         instances: Iterable[str],
         deadline_ms: int = 1000,
     ) -> list[Attempt]:
-        """Send a copy of each request to each instance, all at the same time."""
+        """Send a copy of each request to each instance concurrently; await all."""
         return [x.result() for x in self.start_all(requests, instances, deadline_ms)]
 
     def start_all(
@@ -181,7 +183,7 @@
         instances: Iterable[str],
         deadline_ms: int = 1000,
     ) -> list:
-        """Send a copy of each request to each instance; return the futures."""
+        """Start sending a copy of each request to each instance; return the futures."""
         targets = tuple(instances)
         return [
             self.pool.submit(self.send, request, instance, deadline_ms)
@@ -190,21 +192,21 @@
         ]
 
     def check(self) -> Report:
-        """Check what was told against what ran."""
+        """Check the answers against the histories of the backend servers."""
         self.pool.shutdown()
         events = read_server_events(self.fleet.server_histories())
         return check([self._operation(x) for x in self.requests], events)
 
     def _operation(self, request: KeyedRequest) -> Operation:
-        wanted = request.wanted
+        planned = request.planned
         return Operation(
-            wanted.name,
+            planned.name,
             self.case,
             self.region,
             self.traffic.service,
             "POST",
-            wanted.path,
-            wanted.started_at,
+            planned.path,
+            planned.started_at,
             monotonic(),
             self.traffic.deadline_ms,
             request.result,
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""What callers send: typed load plans, and the records of what became of it."""
+"""Load plans for clients, and records of the resulting operations."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -9,11 +9,11 @@
 
 from bench.addresses import AddressPlan
 
-# Sizes of answers to reads vary by this factor.
+# Ratio of the largest to the smallest answer to a read.
 SMALLEST_ANSWER_DIVISOR = 20
 
-# The result of one attempt or operation as the caller may conclude it.
-# "not_sent": no byte left the caller. "lost": the connection ended or the time was up.
+# The result of an attempt or operation as the client sees it.
+# "not_sent": the client sent no byte. "lost": the connection ended or timed out.
 AttemptResult = Literal[
     "answered", "not_run", "unknown", "bad_request", "not_sent", "lost"
 ]
@@ -22,37 +22,37 @@
 
 @frozen
 class Traffic:
-    """One stream of requests with random gaps between them."""
+    """A stream of requests with random intervals."""
 
     service: str
     method: Literal["GET", "POST"]
-    # Mean requests per second over all callers of the region.
+    # Mean requests per second over all clients of the region.
     rate: float
     path: str
     deadline_ms: int = 2000
-    # Size of the answers' filler.
+    # Size of the filler in an answer, in bytes.
     smallest_answer: int = 100
     largest_answer: int = 2000
 
 
 @frozen
 class RegionLoad:
-    """The callers of one region."""
+    """The clients of one region and their traffic."""
 
     region: str
-    # Each caller has its own look-up cache, connections and source address.
+    # Names of the clients; each has its own lookup cache, connections and address.
     callers: tuple[str, ...]
     source_addresses: tuple[str, ...]
-    # Addresses by which the callers' look-ups name them.
+    # Client addresses sent in lookups.
     clients: tuple[str, ...]
-    # Addresses of entry instances to ask before a look-up has been answered.
+    # Addresses of entry instances to query before a lookup has been answered.
     seeds: tuple[str, ...]
     traffic: tuple[Traffic, ...]
 
 
 @frozen
 class LoadPlan:
-    """Everything that one process of callers needs."""
+    """The load that one client process generates."""
 
     regions: tuple[RegionLoad, ...]
     records: str
@@ -62,7 +62,7 @@
 
 @frozen
 class Attempt:
-    """One request that a caller sent, or tried to send."""
+    """One request that a client sent, or tried to send."""
 
     at: float
     request_id: str
@@ -71,19 +71,19 @@
     result: AttemptResult
     status: int = 0
     error: str = ""
-    # Backend server that the answer names.
+    # Backend server named in the answer.
     server: str = ""
     retry_after_ms: int = 0
-    # When the attempt's result was known.
+    # Time at which the attempt's result was known.
     ended_at: float = 0.0
-    # A refusal by an entry that had read the request: no copy under the key ran or
-    # will run. A refused connection says this of one copy only.
+    # Whether an entry refused the request after reading it, so that no copy under the
+    # key ran or will run. A refused connection implies this for one copy only.
     covers_key: bool = False
 
 
 @frozen
 class Operation:
-    """What became of one thing that a caller wanted done."""
+    """The result of a read or write and all its attempts."""
 
     name: str
     caller: str
@@ -101,28 +101,28 @@
 
     @property
     def latency_ms(self) -> float:
-        """Return the time that the operation took."""
+        """Return the duration of the operation in milliseconds."""
         return (self.ended_at - self.started_at) * 1000
 
 
 @frozen
 class LoadShape:
-    """How much callers send."""
+    """The rates and sizes of the requests that clients send."""
 
-    # Mean requests per second per region and stream.
+    # Mean requests per second per region and service.
     read_rate: float = 8.0
     write_rate: float = 4.0
     callers_per_region: int = 4
     deadline_ms: int = 2000
-    # Services that are used; all if empty.
+    # Services that receive requests; all if empty.
     services: tuple[str, ...] = field(default=())
-    # Regions whose callers send; all if empty.
+    # Regions whose clients send requests; all if empty.
     regions: tuple[str, ...] = field(default=())
     largest_answer: int = 2000
 
 
 def region_loads(addresses: AddressPlan, shape: LoadShape) -> tuple[RegionLoad, ...]:
-    """Return the callers of each region."""
+    """Return the load of each region."""
     regions = (x.name for x in addresses.plan.deployment.regions)
     return tuple(
         _region_load(addresses, shape, region)
@@ -134,25 +134,28 @@
 def _region_load(addresses: AddressPlan, shape: LoadShape, region: str) -> RegionLoad:
     plan = addresses.plan
     numbers = range(1, shape.callers_per_region + 1)
-    cast = plan.cast or ("caller",)
-    names = (f"{region}-{cast[x % len(cast)]}-{x}".replace(" ", "-") for x in numbers)
-    own = plan.deployment.region_instances(region)
-    others = tuple(x for x in plan.instances if x not in own)
+    client_roles = plan.client_roles or ("caller",)
+    names = (
+        f"{region}-{client_roles[x % len(client_roles)]}-{x}".replace(" ", "-")
+        for x in numbers
+    )
+    local = plan.deployment.region_instances(region)
+    remote = tuple(x for x in plan.instances if x not in local)
     return RegionLoad(
         region,
         tuple(names),
         tuple(f"{addresses.caller_network(region)}{x}" for x in numbers),
         tuple(addresses.client_ip(region, x) for x in numbers),
-        tuple(addresses.public(x).advertise for x in (*own, *others)),
+        tuple(addresses.public(x).advertise for x in (*local, *remote)),
         tuple(
-            _traffic(plan.write_service, service.name, shape)
+            _service_traffic(plan.write_service, service.name, shape)
             for service in plan.deployment.services
             if not shape.services or service.name in shape.services
         ),
     )
 
 
-def _traffic(write_service: str, service: str, shape: LoadShape) -> Traffic:
+def _service_traffic(write_service: str, service: str, shape: LoadShape) -> Traffic:
     if service == write_service:
         rate, deadline = shape.write_rate, shape.deadline_ms
         return Traffic(service, "POST", rate, "/file", deadline)
@@ -169,7 +172,7 @@
 
 
 def read_operations(path: Path) -> Iterator[Operation]:
-    """Read the records of a process of callers."""
+    """Read the operations recorded by a client process."""
     with path.open("rb") as lines:
         for line in lines:
             yield json.decode(line, type=Operation)
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -1,4 +1,4 @@
-"""Measure the figures of the system and print one JSON object a line."""
+"""Run the measurements and print each figure as one line of JSON."""
 
 import sys
 from collections.abc import Callable, Iterator
@@ -44,8 +44,8 @@
     flags.DEFINE_integer("seed", 1, "Seed of the random numbers.", flag_values=values)
 
 
-def chosen(only: str) -> list[str]:
-    """Return the names of the measurements to run; raise ValueError for a wrong one."""
+def selected_measurements(only: str) -> list[str]:
+    """Return the measurements to run; raise ValueError for an unknown name."""
     names = [name.strip() for name in only.split(",") if name.strip()]
     for name in names:
         if name not in MEASUREMENTS:
@@ -59,7 +59,7 @@
     """Run the chosen measurements."""
     values = parse_flags(define_flags, arguments)
     try:
-        names = chosen(values["only"].value)
+        names = selected_measurements(values["only"].value)
     except ValueError as error:
         print(error, file=sys.stderr)
         return 2
--- a/bench/playing.py
+++ b/bench/playing.py
@@ -1,4 +1,4 @@
-"""Play a load against a fleet and gather the records of the run."""
+"""Run a load against a fleet and collect its records."""
 
 from pathlib import Path
 
@@ -10,14 +10,14 @@
 from bench.processes import ProcessSpec
 from ebonybend.codec import to_json
 
-# A load ends this long after its last arrival at the latest: the longest deadline
+# Maximum time from the last request to the end of the load: the longest deadline
 # plus the time for the last answer.
-LAST_ANSWERS_S = 10.0
+LAST_ANSWERS_TIMEOUT_S = 10.0
 
 
 @frozen
 class PlayedLoad:
-    """A load that runs, or has run, in a process of callers."""
+    """A load that runs, or has run, in a client process."""
 
     fleet: Fleet
     process: str
@@ -25,22 +25,24 @@
     duration_s: float
 
     def wait(self) -> None:
-        """Wait for the last answers; raise RuntimeError if the callers failed."""
-        limit = self.duration_s + LAST_ANSWERS_S
+        """Wait for the last answers; raise RuntimeError if the process failed."""
+        limit = self.duration_s + LAST_ANSWERS_TIMEOUT_S
         status = self.fleet.processes.wait(self.process, limit)
         if status != 0:
             log = self.fleet.directory / f"{self.process}.log"
-            raise RuntimeError(f"callers: status {status}: {log.read_text()[-2000:]}")
+            raise RuntimeError(
+                f"client process: status {status}: {log.read_text()[-2000:]}"
+            )
 
     def operations(self) -> list[Operation]:
-        """Return what the callers recorded."""
+        """Return the operations that the clients recorded."""
         return list(read_operations(self.records))
 
 
 def play(
     fleet: Fleet, shape: LoadShape, duration_s: float, seed: int = 1
 ) -> PlayedLoad:
-    """Start callers in all regions."""
+    """Start a client process that generates the load of all regions."""
     name = f"callers-{seed}"
     records = fleet.directory / f"{name}.records.jsonl"
     loads = region_loads(fleet.addresses, shape)
@@ -52,7 +54,7 @@
 
 
 def check_run(fleet: Fleet, loads: list[PlayedLoad]) -> Report:
-    """Check the records of the callers against those of the backend servers."""
+    """Check the records of clients against the histories of backend servers."""
     operations = [x for load in loads for x in load.operations()]
     events = read_server_events(fleet.server_histories())
     leaving = {x.name: x.at for x in fleet.events if x.event == "drain_server"}
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Start, watch, pause and end child processes by id."""
+"""Start, monitor, signal and terminate child processes."""
 
 import os
 import signal
@@ -13,7 +13,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 WATCH_INTERVAL_S = 0.05
-# A process that was killed is gone from the process table within this time.
+# A killed process has terminated within this time.
 KILL_WAIT_S = 5.0
 
 
@@ -24,7 +24,7 @@
     name: str
     module: str
     arguments: tuple[str, ...]
-    # Start it again this long after it ended by itself; None for never.
+    # Delay before a restart after a crash; None for no restart.
     restart_after_s: float | None = None
 
 
@@ -35,8 +35,8 @@
     spec: ProcessSpec
     popen: Popen
     started_at: float
-    # The fleet ends this process itself, or it has done its work.
-    ending: bool = False
+    # Whether the fleet terminates the process, or it has exited with status 0.
+    expected_end: bool = False
     restart_at: float | None = None
 
     @property
@@ -50,32 +50,32 @@
 
 
 class ProcessGroup:
-    """The child processes of one fleet; leaving the context ends them all."""
+    """The child processes of one fleet; leaving the context kills them all."""
 
     def __init__(self, directory: Path):
         self.directory = directory
         self.processes: dict[str, RunningProcess] = {}
-        # Crashes as (time of the monotonic clock, name).
+        # Crashes as (monotonic time, process name).
         self.crashes: list[tuple[float, str]] = []
         self.lock = RLock()
         self.closing = Event()
         self.watcher = Thread(target=self._watch, daemon=True)
-        self.old_handler: Any = None
+        self.previous_handler: Any = None
 
     def __enter__(self) -> "ProcessGroup":
         self.watcher.start()
-        # Otherwise SIGTERM ends this process without ending its children.
+        # Without a handler, SIGTERM ends this process but not its children.
         if current_thread() is main_thread():
-            self.old_handler = signal.signal(signal.SIGTERM, _exit_on_signal)
+            self.previous_handler = signal.signal(signal.SIGTERM, _exit_on_signal)
         return self
 
     def __exit__(self, *_: object) -> None:
         self.close()
-        if self.old_handler is not None:
-            signal.signal(signal.SIGTERM, self.old_handler)
+        if self.previous_handler is not None:
+            signal.signal(signal.SIGTERM, self.previous_handler)
 
     def start(self, spec: ProcessSpec) -> RunningProcess:
-        """Start a process with its output in a log file."""
+        """Start a process with its output appended to a log file."""
         with self.lock:
             if self.closing.is_set():
                 raise RuntimeError("the fleet is closing")
@@ -100,22 +100,22 @@
                 os.kill(running.popen.pid, number)
 
     def kill(self, name: str) -> None:
-        """End a process at once and wait until it is gone."""
+        """Kill a process and wait until it has terminated."""
         with self.lock:
             running = self.processes[name]
-            running.ending = True
+            running.expected_end = True
             if running.alive:
                 running.popen.kill()
         running.popen.wait(KILL_WAIT_S)
 
     def terminate(self, name: str) -> None:
-        """Ask a process to stop gracefully."""
+        """Send SIGTERM to a process, for a graceful stop."""
         with self.lock:
-            self.processes[name].ending = True
+            self.processes[name].expected_end = True
             self.signal(name, signal.SIGTERM)
 
     def wait(self, name: str, timeout_s: float) -> int | None:
-        """Return a process's exit status, or None if it doesn't end in time."""
+        """Wait for a process; return its exit status, or None on timeout."""
         try:
             return self.processes[name].popen.wait(timeout_s)
         except TimeoutExpired:
@@ -130,17 +130,17 @@
         return name in self.processes and self.processes[name].alive
 
     def _watch(self) -> None:
-        """Note crashes and start crashed processes again after their delay."""
+        """Record crashes and restart crashed processes after their delay."""
         while not self.closing.wait(WATCH_INTERVAL_S):
             with self.lock:
                 for running in tuple(self.processes.values()):
                     self._check(running)
 
     def _check(self, running: RunningProcess) -> None:
-        if running.alive or running.ending:
+        if running.alive or running.expected_end:
             return
         if running.popen.returncode == 0:
-            running.ending = True
+            running.expected_end = True
             return
         now = monotonic()
         if running.restart_at is None:
@@ -151,12 +151,12 @@
             self.start(running.spec)
 
     def close(self) -> None:
-        """End every process and wait until all are gone."""
+        """Kill every process and wait until all have terminated."""
         self.closing.set()
         with self.lock:
             running = tuple(self.processes.values())
             for process in running:
-                process.ending = True
+                process.expected_end = True
                 if process.alive:
                     process.popen.kill()
         for process in running:
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Draw the measured figures against their baselines or targets."""
+"""Plot the measured figures relative to their baselines or targets."""
 
 import sys
 from pathlib import Path
@@ -15,20 +15,22 @@
 
 
 def read_figures(path: Path) -> list[Figure]:
-    """Read the output of the measurements; the last value of a name counts."""
+    """Read the output of the measurements; the last figure with a name is used."""
     lines = path.read_bytes().splitlines()
     figures = [from_json(line, Figure) for line in lines if line.startswith(b"{")]
     return list({figure.name: figure for figure in figures}.values())
 
 
 def draw(figures: list[Figure], path: Path) -> None:
-    """Draw the ratios as bars; 1 is the baseline or the target."""
-    rated = [figure for figure in figures if figure.ratio is not None]
+    """Plot the ratios as bars; 1 is the baseline or the target."""
+    with_ratio = [figure for figure in figures if figure.ratio is not None]
     mpl.rcParams["svg.hashsalt"] = "ebonybend"
-    drawing = Drawing(figsize=(9, 1 + ROW_INCHES * len(rated)), layout="constrained")
+    drawing = Drawing(
+        figsize=(9, 1 + ROW_INCHES * len(with_ratio)), layout="constrained"
+    )
     axes = drawing.subplots()
-    names = [f"{x.name}: {x.value:.3g} {x.unit}" for x in rated]
-    axes.barh(names, [x.ratio for x in rated])
+    names = [f"{x.name}: {x.value:.3g} {x.unit}" for x in with_ratio]
+    axes.barh(names, [x.ratio for x in with_ratio])
     axes.axvline(1.0, color="black", linewidth=1)
     axes.invert_yaxis()
     axes.set_xlabel("value over baseline or target")
@@ -49,7 +51,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Draw the report."""
+    """Write the report."""
     values = parse_flags(define_flags, arguments)
     source = Path(values["figures"].value)
     if not source.exists():
--- a/bench/revisions.py
+++ b/bench/revisions.py
@@ -1,4 +1,4 @@
-"""Watch the rules revision in force on every instance of a fleet."""
+"""Monitor the rules revision in force on every instance of a fleet."""
 
 import re
 from threading import Event, Thread
@@ -17,39 +17,39 @@
 
 @define
 class Sample:
-    """A revision that a process showed."""
+    """A revision that a process reported in its metrics."""
 
-    # When the first poll that showed it ended, and the last such poll began.
+    # End of the first poll that returned it, and start of the last such poll.
     at: float
     until: float
     revision: int
 
 
 def entry_revision(fleet: Fleet, name: str) -> int | None:
-    """Return the revision in force on an entry; None if it has none or is silent."""
+    """Return the revision in force on an entry; None if it has none or is down."""
     return _revision(fleet.addresses.public(name).listen, _ENTRY)
 
 
 def control_revision(fleet: Fleet, name: str) -> int | None:
-    """Return the newest revision that a control knows; None if it has none."""
+    """Return a control's newest revision; None if it has none or is down."""
     return _revision(fleet.addresses.admin(name), _CONTROL)
 
 
 def _revision(address: str, pattern: re.Pattern[bytes]) -> int | None:
     answer = call("GET", address, "/metrics", timeout=METRICS_TIMEOUT_S)
     found = pattern.search(answer.body) if answer.status == 200 else None
-    # A new incarnation shows 0 until it has rules, and serves nothing until then.
+    # A new incarnation reports 0 until it has rules, and serves nothing until then.
     return int(float(found[1])) or None if found else None
 
 
 @define
 class RevisionWatch:
-    """Poll the metrics of every process and keep each change of revision."""
+    """Poll the metrics of every process and record each change of revision."""
 
     fleet: Fleet
     samples: dict[str, list[Sample]] = field(factory=dict)
     falls: list[str] = field(factory=list)
-    ending: Event = field(factory=Event)
+    stopping: Event = field(factory=Event)
     threads: list[Thread] = field(factory=list)
 
     def __enter__(self) -> "RevisionWatch":
@@ -60,36 +60,44 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        self.ending.set()
+        self.stopping.set()
         for thread in self.threads:
             thread.join()
 
     def _watch(self, name: str) -> None:
-        while not self.ending.wait(WATCH_PERIOD_S):
+        while not self.stopping.wait(WATCH_PERIOD_S):
             for role, read in (
                 ("entry", entry_revision),
                 ("control", control_revision),
             ):
-                began = monotonic()
-                self._take(f"{name}-{role}", began, read(self.fleet, name))
-
-    def _take(self, process: str, began: float, revision: int | None) -> None:
+                poll_started_at = monotonic()
+                self._record_sample(
+                    f"{name}-{role}", poll_started_at, read(self.fleet, name)
+                )
+
+    def _record_sample(
+        self, process: str, poll_started_at: float, revision: int | None
+    ) -> None:
         if revision is None:
             return
-        seen = self.samples.setdefault(process, [])
-        if seen and revision < seen[-1].revision:
-            self.falls.append(f"{process}: {seen[-1].revision} to {revision}")
-        if not seen or revision != seen[-1].revision:
-            seen.append(Sample(monotonic(), began, revision))
+        process_samples = self.samples.setdefault(process, [])
+        if process_samples and revision < process_samples[-1].revision:
+            self.falls.append(
+                f"{process}: {process_samples[-1].revision} to {revision}"
+            )
+        if not process_samples or revision != process_samples[-1].revision:
+            process_samples.append(Sample(monotonic(), poll_started_at, revision))
         else:
-            seen[-1].until = began
+            process_samples[-1].until = poll_started_at
 
     def reached(self, process: str, revision: int) -> float | None:
-        """Return the time at which a process first showed a revision or a later one."""
-        seen = self.samples.get(process, [])
-        return next((x.at for x in seen if x.revision >= revision), None)
+        """Return when a process first reported a revision or a later one, or None."""
+        process_samples = self.samples.get(process, [])
+        return next((x.at for x in process_samples if x.revision >= revision), None)
 
     def lacked(self, process: str, revision: int) -> float:
-        """Return the last time at which a process surely lacked a revision."""
-        seen = self.samples.get(process, [])
-        return max((x.until for x in seen if x.revision < revision), default=0.0)
+        """Return the last time at which a process certainly had an older revision."""
+        process_samples = self.samples.get(process, [])
+        return max(
+            (x.until for x in process_samples if x.revision < revision), default=0.0
+        )
--- a/bench/run_tests.py
+++ b/bench/run_tests.py
@@ -1,4 +1,4 @@
-"""Run every test module and end with a line of passed and failed counts."""
+"""Run every test module and print the numbers of passed and failed tests."""
 
 import sys
 import unittest
@@ -29,8 +29,8 @@
     loader = unittest.TestLoader()
     suite = unittest.TestSuite()
     for package in PACKAGES:
-        found = loader.discover(str(ROOT / package), "test_*.py", str(ROOT))
-        for test in iterate_tests(found):
+        discovered = loader.discover(str(ROOT / package), "test_*.py", str(ROOT))
+        for test in iterate_tests(discovered):
             if not patterns or any(pattern in test.id() for pattern in patterns):
                 suite.addTest(test)
     if loader.errors:
@@ -40,20 +40,20 @@
 
 def main(arguments: list[str]) -> int:
     """Run the selected tests and return the exit status."""
-    # Without this, hypothesis draws new examples in each run.
+    # Makes hypothesis use the same examples in each run.
     settings.register_profile(
         "repeatable", derandomize=True, database=None, deadline=None
     )
     settings.load_profile("repeatable")
     known = known_failures()
     selected = unittest.TestSuite()
-    passed_over = []
+    excluded = []
     for test in iterate_tests(discover(arguments)):
         if test.id() in known:
-            passed_over.append(test.id())
+            excluded.append(test.id())
         else:
             selected.addTest(test)
-    for test_id in passed_over:
+    for test_id in excluded:
         print(f"known failure, not run: {test_id}")
     result: TestResult = TextTestResult(sys.stderr, failfast=False, verbosity=2)
     result.startTestRun()
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,4 +1,4 @@
-"""Run a fleet under load with random faults and check every promise."""
+"""Run a fleet under load with random faults and check all invariants."""
 
 import sys
 from pathlib import Path
@@ -20,7 +20,7 @@
 from bench.soak_checks import (
     late_work,
     most_moved,
-    moved,
+    moved_request_spans,
     not_converged,
 )
 from bench.soak_faults import FaultRunner, PlannedFault, plan_faults
@@ -33,29 +33,29 @@
 )
 from standins.command import parse_flags
 
-# Part of a run, at its end, that is free of faults, between two bounds.
-QUIET_PART = 0.15
-SHORTEST_QUIET_S = 4.0
-LONGEST_QUIET_S = 15.0
-# The hold time, the longest deadline and the spread of the newest rules.
-CONVERGE_S = 20.0
+# Fraction of a run, at its end, without faults; its length is bounded.
+FAULT_FREE_FRACTION = 0.15
+MIN_FAULT_FREE_S = 4.0
+MAX_FAULT_FREE_S = 15.0
+# Covers the hold time, the longest deadline and the propagation of the newest rules.
+CONVERGE_TIMEOUT_S = 20.0
 SHAPE = LoadShape(read_rate=15.0, write_rate=8.0)
 
 
 @define
 class SoakResult:
-    """What a soak run found."""
+    """The result of a soak run."""
 
     seed: int
     faults: list[PlannedFault]
     report: Report
-    # Most requests moved under the cap in one window.
+    # Largest number of capped requests moved between regions in one window.
     most_moved: int = 0
     changes: int = 0
     violations: list[str] = field(factory=list)
 
     def line(self) -> str:
-        """Return the last line of a run."""
+        """Return the summary line of a run."""
         report = self.report
         return (
             f"soak: seed={self.seed} faults={len(self.faults)} sent={report.sent} "
@@ -64,8 +64,8 @@
         )
 
 
-def draw_plan(seed: int) -> DeploymentPlan:
-    """Return the deployment that a seed chooses."""
+def choose_deployment(seed: int) -> DeploymentPlan:
+    """Return a deployment chosen at random by a seed."""
     return DEPLOYMENTS[Random(seed).choice(sorted(DEPLOYMENTS))]()
 
 
@@ -76,29 +76,31 @@
     directory: Path,
     daemon_flags: tuple[str, ...] = (),
 ) -> SoakResult:
-    """Run a fleet with faults for some seconds and check it."""
-    quiet = min(max(seconds * QUIET_PART, SHORTEST_QUIET_S), LONGEST_QUIET_S)
-    faults = plan_faults(plan, seconds - quiet, Random(seed))
+    """Run a fleet under load and faults, then check all invariants."""
+    fault_free_s = min(
+        max(seconds * FAULT_FREE_FRACTION, MIN_FAULT_FREE_S), MAX_FAULT_FREE_S
+    )
+    faults = plan_faults(plan, seconds - fault_free_s, Random(seed))
     options = FleetOptions(directory=directory, daemon_flags=daemon_flags)
     with Fleet(plan, options) as fleet, RevisionWatch(fleet) as watch:
-        _first_rules(fleet)
+        _apply_first_rules(fleet)
         load = play(fleet, SHAPE, seconds, seed)
         runner, operators = FaultRunner(fleet, faults), Operators(fleet, seed)
         started = monotonic()
         runner.start()
         operators.start()
-        sleep(max(started + seconds - quiet - monotonic(), 0.0))
+        sleep(max(started + seconds - fault_free_s - monotonic(), 0.0))
         operators.wait()
         runner.wait()
         load.wait()
-        behind = not_converged(fleet, CONVERGE_S)
+        behind = not_converged(fleet, CONVERGE_TIMEOUT_S)
         result = _check(fleet, load, runner, operators, seed)
     result.violations += [f"not converged: {x}" for x in behind]
     result.violations += [f"revision went down: {x}" for x in watch.falls]
     return result
 
 
-def _first_rules(fleet: Fleet) -> None:
+def _apply_first_rules(fleet: Fleet) -> None:
     path = fleet.directory / "first.rules"
     path.write_text(rules_text(fleet, None, 0.5))
     admin = fleet.addresses.admin(fleet.instances[0])
@@ -116,7 +118,7 @@
     events = read_server_events(fleet.server_histories())
     result = SoakResult(seed, runner.faults, check(operations, events))
     result.changes = sum(run.status == 0 for run in operators.runs)
-    result.violations += _broken(result.report)
+    result.violations += _violation_lines(result.report)
     late = late_work(events, [*runner.leaving, *operators.leaving])
     result.violations += [f"late work: {x}" for x in late]
     result.most_moved = _most_moved(fleet, operations, events)
@@ -129,8 +131,8 @@
     return result
 
 
-def _broken(report: Report) -> list[str]:
-    """Return one line for each thing that the histories show broken."""
+def _violation_lines(report: Report) -> list[str]:
+    """Return one line for each violation in a report."""
     names = ("wrong", "duplicates", "untruthful", "invented", "over_slots")
     found = []
     for name in names:
@@ -151,11 +153,11 @@
         if x.failure_domain in targets and x.service == shift_service(fleet)
     ]
     senders = deployment.region_instances(source)
-    return most_moved(moved(operations, events, senders, servers))
+    return most_moved(moved_request_spans(operations, events, senders, servers))
 
 
-def show(result: SoakResult, directory: Path) -> None:
-    """Print the faults, the counts and the last line."""
+def print_summary(result: SoakResult, directory: Path) -> None:
+    """Print the faults, the counts and the summary line."""
     for fault in result.faults:
         print(fault.line())
     print(f"rules changes in force everywhere: {result.changes}")
@@ -180,11 +182,11 @@
     """Run a soak and return the exit status."""
     values = parse_flags(define_flags, arguments)
     seed, seconds = values["seed"].value, values["seconds"].value
-    plan = draw_plan(seed)
+    plan = choose_deployment(seed)
     print(f"seed {seed}, deployment {plan.name}, {seconds:.0f} s", flush=True)
     directory = Path(mkdtemp(prefix="ebonybend-soak-"))
     result = run_soak(plan, seconds, seed, directory)
-    show(result, directory)
+    print_summary(result, directory)
     if result.violations:
         return 1
     rmtree(directory)
--- a/bench/soak_checks.py
+++ b/bench/soak_checks.py
@@ -1,4 +1,4 @@
-"""Check what a soak run must always hold beyond the callers' records."""
+"""Check invariants of a soak run beyond those of the clients' records."""
 
 from collections.abc import Iterable
 from time import monotonic, sleep
@@ -15,58 +15,59 @@
 
 
 def late_work(events: Iterable[ServerEvent], leaving: Iterable[Leaving]) -> list[str]:
-    """Return the requests that reached servers too late after they began to leave."""
+    """Return the requests that reached servers too long after they began to leave."""
     leaving = list(leaving)
-    found = []
+    violations = []
     for event in events:
         if event.event != "received":
             continue
-        for time in leaving:
-            if time.server != event.server:
+        for period in leaving:
+            if period.server != event.server:
                 continue
-            if time.since + LEAVING_LIMIT_S < event.at < time.until:
-                after = event.at - time.since
-                found.append(f"{event.server}: {after:.1f} s after leaving")
-    return found
+            if period.since + LEAVING_LIMIT_S < event.at < period.until:
+                delay_s = event.at - period.since
+                violations.append(f"{event.server}: {delay_s:.1f} s after leaving")
+    return violations
 
 
-def moved(
+def moved_request_spans(
     operations: Iterable[Operation],
     events: Iterable[ServerEvent],
     senders: Iterable[str],
     servers: Iterable[str],
 ) -> list[tuple[float, float]]:
-    """Return for each moved request an earliest and a latest time of its sending.
+    """Return the earliest and latest time at which each moved request was forwarded.
 
-    A caller gave it to a sender at the first and it reached a server at the second.
+    A client sent it to a sender at the first and a server received it at the second.
     """
     senders, servers = frozenset(senders), frozenset(servers)
-    given = {
+    sent_at = {
         attempt.request_id: attempt.at
         for operation in operations
         for attempt in operation.attempts
         if attempt.instance in senders
     }
     return [
-        (given[event.request_id], event.at)
+        (sent_at[event.request_id], event.at)
         for event in events
         if event.event == "received"
         and event.server in servers
-        and event.request_id in given
+        and event.request_id in sent_at
     ]
 
 
 def most_moved(spans: Iterable[tuple[float, float]]) -> int:
-    """Return the largest number of requests that surely lie in one window.
+    """Return the largest number of requests certainly forwarded in one window.
 
-    Faults bunch arrivals, so a request counts only if its whole span is inside.
+    Faults cause bursts of arrivals, so a request counts only if the window contains
+    its whole span.
     """
     spans = sorted(spans)
     most = 0
     for index, (start, _) in enumerate(spans):
         inside = 0
-        for given, received in spans[index:]:
-            if given >= start + CAP_WINDOW_S:
+        for sent_at, received in spans[index:]:
+            if sent_at >= start + CAP_WINDOW_S:
                 break
             inside += received < start + CAP_WINDOW_S
         most = max(most, inside)
@@ -74,14 +75,14 @@
 
 
 def not_converged(fleet: Fleet, timeout_s: float) -> list[str]:
-    """Wait until all instances are ready with one revision; return who is not."""
+    """Wait until all instances are ready with one revision; return the others."""
     deadline = monotonic() + timeout_s
     while True:
-        found = {x: _revisions(fleet, x) for x in fleet.instances}
-        newest = max((y for x in found.values() for y in x if y), default=0)
+        revisions_by_name = {x: _revisions(fleet, x) for x in fleet.instances}
+        newest = max((y for x in revisions_by_name.values() for y in x if y), default=0)
         behind = [
             f"{name}: {revisions}, ready {fleet.instance_ready(name)}"
-            for name, revisions in found.items()
+            for name, revisions in revisions_by_name.items()
             if set(revisions) != {newest} or not fleet.instance_ready(name)
         ]
         if not behind or monotonic() > deadline:
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -1,4 +1,4 @@
-"""Draw the faults of a soak run from its seed, inject and heal them."""
+"""Plan the random faults of a soak run, inject and end them."""
 
 from collections.abc import Callable
 from random import Random
@@ -15,16 +15,16 @@
 from standins.proxy_rules import ProxyRule
 
 FIRST_FAULT_S = 2.0
-SHORTEST_GAP_S = 1.5
-LONGEST_GAP_S = 4.0
-TWO_AT_ONCE = 0.4
-SHORTEST_FAULT_S = 1.0
-LONGEST_FAULT_S = 6.0
-# A target is left alone for this long after a fault, so that a replaced instance can
-# take its slots before it fails again.
+MIN_GAP_S = 1.5
+MAX_GAP_S = 4.0
+TWO_FAULTS_PROBABILITY = 0.4
+MIN_FAULT_S = 1.0
+MAX_FAULT_S = 6.0
+# Minimum time between two faults of a target, so that a replaced instance can
+# acquire its slots before it fails again.
 RECOVERY_S = 5.0
 STOP_TIMEOUT_S = 30.0
-DRAW_TRIES = 10
+MAX_CHOICES = 10
 
 INSTANCE_KINDS = (
     "kill_entry",
@@ -53,7 +53,7 @@
 
 @frozen
 class PlannedFault:
-    """One fault of a run."""
+    """A fault of a soak run."""
 
     # Seconds after the start of the run.
     at: float
@@ -62,7 +62,7 @@
     lasts_s: float
 
     def line(self) -> str:
-        """Return the fault for people."""
+        """Return the fault as a line of text."""
         targets = " ".join(self.targets)
         return f"{self.at:6.1f} s  {self.kind} {targets} for {self.lasts_s:.1f} s"
 
@@ -70,40 +70,40 @@
 def plan_faults(
     plan: DeploymentPlan, end_s: float, random: Random
 ) -> list[PlannedFault]:
-    """Return faults that are all over at a time after the start."""
+    """Return random faults that all end at most end_s seconds after the start."""
     faults: list[PlannedFault] = []
-    busy: dict[tuple[str, ...], float] = {}
+    free_at: dict[tuple[str, ...], float] = {}
     at = FIRST_FAULT_S
-    while at < end_s - SHORTEST_FAULT_S:
-        for _ in range(2 if random.random() < TWO_AT_ONCE else 1):
-            fault = _draw(plan, at, end_s, busy, random)
+    while at < end_s - MIN_FAULT_S:
+        for _ in range(2 if random.random() < TWO_FAULTS_PROBABILITY else 1):
+            fault = _choose_fault(plan, at, end_s, free_at, random)
             if fault is not None:
                 faults.append(fault)
-        at += random.uniform(SHORTEST_GAP_S, LONGEST_GAP_S)
+        at += random.uniform(MIN_GAP_S, MAX_GAP_S)
     return faults
 
 
-def _draw(
+def _choose_fault(
     plan: DeploymentPlan,
     at: float,
     end_s: float,
-    busy: dict[tuple[str, ...], float],
+    free_at: dict[tuple[str, ...], float],
     random: Random,
 ) -> PlannedFault | None:
-    """Return a fault of a target that has none, or None if none was found."""
-    for _ in range(DRAW_TRIES):
+    """Return a fault of a target that has none; None if no free target was found."""
+    for _ in range(MAX_CHOICES):
         kind = random.choice(KINDS)
-        targets = _targets(plan, kind, random)
-        lasts = random.uniform(SHORTEST_FAULT_S, LONGEST_FAULT_S)
-        if busy.get(targets, 0.0) > at:
+        targets = _choose_targets(plan, kind, random)
+        duration_s = random.uniform(MIN_FAULT_S, MAX_FAULT_S)
+        if free_at.get(targets, 0.0) > at:
             continue
-        lasts = min(lasts, end_s - at)
-        busy[targets] = at + lasts + RECOVERY_S
-        return PlannedFault(at, kind, targets, lasts)
+        duration_s = min(duration_s, end_s - at)
+        free_at[targets] = at + duration_s + RECOVERY_S
+        return PlannedFault(at, kind, targets, duration_s)
     return None
 
 
-def _targets(plan: DeploymentPlan, kind: str, random: Random) -> tuple[str, ...]:
+def _choose_targets(plan: DeploymentPlan, kind: str, random: Random) -> tuple[str, ...]:
     if kind in INSTANCE_KINDS:
         return (random.choice(plan.instances),)
     if kind in PLATFORM_KINDS:
@@ -118,7 +118,7 @@
 
 @frozen
 class Leaving:
-    """A time in which a backend server was leaving."""
+    """A period in which a backend server was leaving."""
 
     server: str
     since: float
@@ -127,7 +127,7 @@
 
 @define
 class FaultRunner:
-    """Inject planned faults, each in its own thread, and heal them."""
+    """Inject planned faults, each in its own thread, and end them."""
 
     fleet: Fleet
     faults: list[PlannedFault]
@@ -136,7 +136,7 @@
     threads: list[Thread] = field(factory=list)
 
     def start(self) -> None:
-        """Inject every fault at its time from now on."""
+        """Start the threads that inject the faults at their planned times."""
         started = monotonic()
         for fault in self.faults:
             thread = Thread(target=self._run, args=(fault, started), daemon=True)
@@ -144,23 +144,23 @@
             thread.start()
 
     def wait(self) -> None:
-        """Wait until every fault is healed."""
+        """Wait until every fault has ended."""
         for thread in self.threads:
             thread.join()
 
     def _run(self, fault: PlannedFault, started: float) -> None:
         sleep(max(started + fault.at - monotonic(), 0.0))
         try:
-            self._action(fault.kind)(fault)
+            self._injector(fault.kind)(fault)
         except Exception as error:
-            # The thread's failure must fail the run.
+            # An exception in the thread must fail the run.
             self.problems.append(f"{fault.line()}: {error!r}")
 
-    def _action(self, kind: str) -> Callable[[PlannedFault], None]:
+    def _injector(self, kind: str) -> Callable[[PlannedFault], None]:
         if kind in PAIR_KINDS or kind in PLATFORM_LINK_KINDS:
-            return self._disturb_links
+            return self._inject_link_faults
         if kind in PLATFORM_KINDS:
-            return self._disturb_platform
+            return self._inject_platform_faults
         return getattr(self, f"_{kind}")
 
     def _kill_entry(self, fault: PlannedFault) -> None:
@@ -208,12 +208,12 @@
         self.fleet.set_server_faults(name, ServerFaults())
         self.fleet.list_server(name, LifeState.LIVE)
 
-    def _disturb_platform(self, fault: PlannedFault) -> None:
+    def _inject_platform_faults(self, fault: PlannedFault) -> None:
         self.fleet.set_platform_faults(PLATFORM_FAULTS[fault.kind])
         sleep(fault.lasts_s)
         self.fleet.set_platform_faults(PlatformFaults())
 
-    def _disturb_links(self, fault: PlannedFault) -> None:
+    def _inject_link_faults(self, fault: PlannedFault) -> None:
         rules = link_rules(self.fleet, fault)
         self.fleet.add_proxy_rules(*rules)
         sleep(fault.lasts_s)
@@ -221,12 +221,12 @@
 
 
 def link_rules(fleet: Fleet, fault: PlannedFault) -> tuple[ProxyRule, ...]:
-    """Return the proxy rules of a fault between two places."""
+    """Return the proxy rules of a network fault between two targets."""
     action = "freeze" if fault.kind.startswith("freeze") else "cut"
     networks = [_network(fleet, target) for target in fault.targets]
-    ways = [tuple(networks)]
+    directions = [tuple(networks)]
     if fault.kind in ("cut", "freeze"):
-        ways.append((networks[1], networks[0]))
+        directions.append((networks[1], networks[0]))
     return tuple(
         ProxyRule(
             name=f"{fault.line()} {source}",
@@ -234,11 +234,11 @@
             target=target,
             action=action,
         )
-        for source, target in ways
+        for source, target in directions
     )
 
 
-def _network(fleet: Fleet, place: str) -> str:
-    if place == "platform":
+def _network(fleet: Fleet, target_name: str) -> str:
+    if target_name == "platform":
         return fleet.addresses.platform.advertise
-    return fleet.addresses.domain_network(place)
+    return fleet.addresses.domain_network(target_name)
--- a/bench/soak_operators.py
+++ b/bench/soak_operators.py
@@ -1,4 +1,4 @@
-"""Two operators who change the rules of a fleet during a soak run."""
+"""Simulate two operators who change the rules of a fleet during a soak run."""
 
 import sys
 from random import Random
@@ -12,20 +12,20 @@
 from bench.processes import ROOT
 from bench.soak_faults import Leaving
 
-SHORTEST_PAUSE_S = 1.0
-LONGEST_PAUSE_S = 4.0
+MIN_PAUSE_S = 1.0
+MAX_PAUSE_S = 4.0
 CONFIRM_WAIT_S = 5.0
 TOOL_TIMEOUT_S = 40.0
-ADMINS = 3
-# Below the rate that the shares move, so that the cap is reached.
+ADMIN_COUNT = 3
+# Below the rate that the shifts request, so that the cap is reached.
 SHIFT_CAP = 5
-SHARES = (50, 80, 100)
-STATUSES = (0, 1, 2)
+SHIFT_PERCENTAGES = (50, 80, 100)
+EXPECTED_STATUSES = (0, 1, 2)
 
 
 @frozen
 class ToolRun:
-    """What the command-line tool did."""
+    """The result of one run of the command-line tool."""
 
     status: int
     output: str
@@ -33,7 +33,7 @@
 
 
 def tool(fleet: Fleet, asked: tuple[str, ...], *arguments: str) -> ToolRun:
-    """Run the tool against the controls of some instances."""
+    """Run the tool with the admin addresses of some instances."""
     admins = ",".join(fleet.addresses.admin(name) for name in asked)
     command = (sys.executable, "-m", "ebonybend.cli", *arguments, f"--admin={admins}")
     done = run(command, cwd=ROOT, capture_output=True, timeout=TOOL_TIMEOUT_S)
@@ -42,13 +42,13 @@
 
 
 def shift_service(fleet: Fleet) -> str:
-    """Return the service of the shift: the first one of reads."""
+    """Return the service that the shift moves: the first one with reads."""
     names = (x.name for x in fleet.plan.deployment.services)
     return next(name for name in names if name != fleet.plan.write_service)
 
 
 def shift_regions(fleet: Fleet) -> tuple[str, str]:
-    """Return the regions that the shift goes from and to."""
+    """Return the source and target region of the shift."""
     regions = [region.name for region in fleet.plan.deployment.regions]
     return regions[0], regions[1]
 
@@ -56,7 +56,7 @@
 def rules_text(fleet: Fleet, share: int | None, latency: float) -> str:
     """Return rules with a cap, and a shift if a share is given.
 
-    The cap also bounds overflow, so that all that is moved between the regions counts.
+    The cap also limits overflow, so all requests moved between the regions count.
     """
     source, target = shift_regions(fleet)
     service = shift_service(fleet)
@@ -77,74 +77,73 @@
 
 @define
 class Operators:
-    """Change rules at random until told to end."""
+    """Change rules at random, in two threads, until stopped."""
 
     fleet: Fleet
     seed: int
     runs: list[ToolRun] = field(factory=list)
     leaving: list[Leaving] = field(factory=list)
     problems: list[str] = field(factory=list)
-    ending: Event = field(factory=Event)
+    stopping: Event = field(factory=Event)
     threads: list[Thread] = field(factory=list)
 
     def start(self) -> None:
         """Start both operators."""
         for action in (self._shift, self._drain):
             random = Random(f"{self.seed} {action.__name__}")
-            thread = Thread(target=self._work, args=(action, random), daemon=True)
+            thread = Thread(target=self._repeat, args=(action, random), daemon=True)
             self.threads.append(thread)
             thread.start()
 
     def wait(self) -> None:
-        """Let both operators finish their last change."""
-        self.ending.set()
+        """Stop both operators after their current change."""
+        self.stopping.set()
         for thread in self.threads:
             thread.join()
 
-    def _work(self, action, random: Random) -> None:
+    def _repeat(self, action, random: Random) -> None:
         try:
-            while not self.ending.wait(
-                random.uniform(SHORTEST_PAUSE_S, LONGEST_PAUSE_S)
-            ):
+            while not self.stopping.wait(random.uniform(MIN_PAUSE_S, MAX_PAUSE_S)):
                 action(random)
         except (OSError, TimeoutExpired) as error:
             self.problems.append(repr(error))
 
-    def _tool(self, random: Random, *arguments: str) -> ToolRun:
-        asked = tuple(random.sample(self.fleet.instances, ADMINS))
+    def _run_tool(self, random: Random, *arguments: str) -> ToolRun:
+        asked = tuple(random.sample(self.fleet.instances, ADMIN_COUNT))
         common = ("--author=Ben", "--why=soak", f"--wait={CONFIRM_WAIT_S}")
         done = tool(self.fleet, asked, *arguments, *common)
         self.runs.append(done)
-        if done.status not in STATUSES or "Traceback" in done.output:
+        if done.status not in EXPECTED_STATUSES or "Traceback" in done.output:
             self.problems.append(f"{arguments}: {done.status} {done.output[-500:]}")
         return done
 
     def _shift(self, random: Random) -> None:
-        """Replace the rules by ones with another shift and other weights."""
-        asked = tuple(random.sample(self.fleet.instances, ADMINS))
-        shown = tool(self.fleet, asked, "show")
-        head = next(
-            (x for x in shown.output.splitlines() if x.startswith("# revision:")), None
+        """Replace the rules with a random shift and random weights."""
+        asked = tuple(random.sample(self.fleet.instances, ADMIN_COUNT))
+        current = tool(self.fleet, asked, "show")
+        revision_line = next(
+            (x for x in current.output.splitlines() if x.startswith("# revision:")),
+            None,
         )
-        if shown.status != 0 or head is None:
+        if current.status != 0 or revision_line is None:
             return
-        share = random.choice((None, *SHARES))
+        share = random.choice((None, *SHIFT_PERCENTAGES))
         text = rules_text(self.fleet, share, random.choice((0.2, 0.8)))
         path = self.fleet.directory / "shift.rules"
-        path.write_text(f"{head}\n{text}")
-        self._tool(random, "apply", str(path))
+        path.write_text(f"{revision_line}\n{text}")
+        self._run_tool(random, "apply", str(path))
 
     def _drain(self, random: Random) -> None:
-        """Drain an instance or a backend server, and later undrain it."""
+        """Drain a random instance or backend server, and later undrain it."""
         if random.random() < 0.5:
             name, kind = random.choice(self.fleet.instances), "--instance"
         else:
             name, kind = random.choice(self.fleet.plan.servers).name, "--backend"
-        done = self._tool(random, "drain", name, kind)
-        self.ending.wait(random.uniform(SHORTEST_PAUSE_S, LONGEST_PAUSE_S))
+        done = self._run_tool(random, "drain", name, kind)
+        self.stopping.wait(random.uniform(MIN_PAUSE_S, MAX_PAUSE_S))
         until = monotonic()
-        undone = self._tool(random, "undrain", name, kind)
-        # The other operator's text may have removed the rule before.
-        in_force = done.status == 0 and undone.status == 0
+        undrain = self._run_tool(random, "undrain", name, kind)
+        # The other operator's rules may have removed the drain already.
+        in_force = done.status == 0 and undrain.status == 0
         if kind == "--backend" and in_force:
             self.leaving.append(Leaving(name, done.ended_at, until))
--- a/bench/steering_cost.py
+++ b/bench/steering_cost.py
@@ -1,4 +1,4 @@
-"""Measure the cost of one request's decisions and of one look-up decision."""
+"""Measure the cost of the routing decisions for a request and for a lookup."""
 
 import tracemalloc
 from random import Random
@@ -26,7 +26,7 @@
     ServerState,
 )
 
-# The target of section 1.6.
+# The target size of a deployment.
 BLOCKS = 2_400_000
 BLOCKS_PER_SHARD = 150_000
 REGIONS = 10
@@ -39,7 +39,7 @@
 
 
 def measure_request() -> list[float]:
-    """Return the microseconds per request among 12 servers of 5 slots, by round."""
+    """Return the sorted microseconds per request by round; 12 servers, 5 slots each."""
     clock = SystemClock()
     # A long hold time, because no heartbeat loop runs here.
     ledger = SlotLedger("a", 1, clock, 1e9, 5.0)
@@ -58,7 +58,7 @@
         admission.limit(server.name)
         chooser.record_latency(server.name, 0.02)
     sleep(SLOW_START_S)
-    # A third of the slots are busy, as at a usual load.
+    # A third of the slots are in use, as under typical load.
     for server in servers[:10]:
         for _ in range(2):
             admission.acquire(server.name)
@@ -69,9 +69,9 @@
 def measure_round(
     servers: tuple[ServerView, ...], suspects: SuspectRegistry, chooser: ServerChooser
 ) -> float:
-    """Return the microseconds for one request's decisions."""
+    """Return the mean microseconds for one request's decisions."""
     admission = chooser.admission
-    begin = perf_counter()
+    started_at = perf_counter()
     for _ in range(REQUESTS):
         name = fingerprint("rides", "GET", "/history/1234", b"")
         suspects.verdict(name)
@@ -80,11 +80,11 @@
         admission.release(server, ServerResult.SUCCESS, 0.02)
         chooser.record_latency(server, 0.02)
         suspects.record_success(name)
-    return (perf_counter() - begin) / REQUESTS * 1e6
+    return (perf_counter() - started_at) / REQUESTS * 1e6
 
 
 def make_table() -> Table:
-    """Return a table with the target's regions, domains and nodes."""
+    """Return a table with the target number of regions, domains and instances."""
     regions = tuple(Region(f"r{i}") for i in range(REGIONS))
     domains = tuple(
         FailureDomain(
@@ -110,7 +110,7 @@
 
 
 def measure_lookups() -> None:
-    """Print the memory and the times of the client map and the ranking."""
+    """Print the memory use and times of the client map and the lookup ranking."""
     sites = tuple(f"d{i:02}" for i in range(DOMAINS))
     shards = [
         encode_shard(
@@ -124,25 +124,25 @@
     ]
     tracemalloc.start()
     client_map = ClientMap.from_shards(shards)
-    held, peak = tracemalloc.get_traced_memory()
+    allocated, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    begin = perf_counter()
+    started_at = perf_counter()
     client_map = ClientMap.from_shards(shards)
     print(f"largest shard: {max(map(len, shards))} B")
     print(f"client map: {client_map.size_bytes() / 1e6:.1f} MB in arrays")
-    print(f"client map: {held / 1e6:.1f} MB held, {peak / 1e6:.1f} MB at load")
-    print(f"client map: loaded in {(perf_counter() - begin) * 1000:.0f} ms")
+    print(f"client map: {allocated / 1e6:.1f} MB held, {peak / 1e6:.1f} MB at load")
+    print(f"client map: loaded in {(perf_counter() - started_at) * 1000:.0f} ms")
     table = make_table()
-    begin = perf_counter()
+    started_at = perf_counter()
     ranker = LookupRanker(table, client_map)
-    print(f"new ranker: {(perf_counter() - begin) * 1e3:.2f} ms")
+    print(f"new ranker: {(perf_counter() - started_at) * 1e3:.2f} ms")
     random = Random(1)
     clients = [random.randrange(BLOCKS * 256) for _ in range(LOOKUPS)]
     for label in ("first", "second"):
-        begin = perf_counter()
+        started_at = perf_counter()
         for client in clients:
             ranker.rank(client)
-        cost = (perf_counter() - begin) / LOOKUPS * 1e6
+        cost = (perf_counter() - started_at) / LOOKUPS * 1e6
         print(f"look-up: {cost:.1f} us in the {label} round")
 
 
--- a/bench/tables.py
+++ b/bench/tables.py
@@ -1,4 +1,4 @@
-"""Tables of a run for people."""
+"""Format the operations of a run as a table."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
@@ -18,7 +18,7 @@
 
 
 def percentile(values: Sequence[float], fraction: float) -> float:
-    """Return the value below which a fraction of the values lie, or 0 for none."""
+    """Return the value below which a fraction of the values lie; 0 if empty."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -49,7 +49,7 @@
 
 
 def format_table(headings: tuple[str, ...], rows: list[tuple[str, ...]]) -> str:
-    """Return a table with aligned columns; figures are aligned to the right."""
+    """Return a table with aligned columns; numbers are right-aligned."""
     lines = [headings, *rows]
     widths = [max(len(line[x]) for line in lines) for x in range(len(headings))]
     return "\n".join(_line(line, widths) for line in lines)
