--- a/bench/addresses.py
+++ b/bench/addresses.py
@@ -64,14 +64,14 @@
 
     def server_host(self, server: str) -> str:
         """Return the IP address of a backend server."""
-        found = next(x for x in self.plan.servers if x.name == server)
-        same = [
+        planned_server = next(x for x in self.plan.servers if x.name == server)
+        domain_servers = [
             x.name
             for x in self.plan.servers
-            if x.failure_domain == found.failure_domain
+            if x.failure_domain == planned_server.failure_domain
         ]
-        number = FIRST_SERVER_HOST + same.index(server)
-        return f"{self.domain_network(found.failure_domain)}{number}"
+        number = FIRST_SERVER_HOST + domain_servers.index(server)
+        return f"{self.domain_network(planned_server.failure_domain)}{number}"
 
     def client_ip(self, region: str, client_number: int) -> str:
         """Return the client address that a client sends in its lookups.
@@ -177,12 +177,12 @@
         self, source: FailureDomain, target: FailureDomain
     ) -> ProxyRule:
         crosses_regions = source.region != target.region
-        latency = self.plan.deployment.one_way_latency_ms(source.name, target.name)
+        latency_ms = self.plan.deployment.one_way_latency_ms(source.name, target.name)
         return ProxyRule(
             name=f"latency {source.name} {target.name}",
             source=self.domain_network(source.name),
             target=self.domain_network(target.name),
-            delay_ms=latency,
+            delay_ms=latency_ms,
             forward_link=link_name(source.region, target.region)
             if crosses_regions
             else None,
--- a/bench/caller.py
+++ b/bench/caller.py
@@ -289,16 +289,16 @@
         """Send requests for the planned time, then wait for the last answers."""
         for load in self.plan.regions:
             numbers = range(len(load.callers))
-            callers = [Caller(self.reactor, load, x) for x in numbers]
+            clients = [Caller(self.reactor, load, x) for x in numbers]
             for traffic in load.traffic:
-                self._schedule(callers, traffic, monotonic())
+                self._schedule(clients, traffic, monotonic())
         await sleep(self.reactor, self.plan.duration_s)
         while self.in_flight:
             await sleep(self.reactor, RETRY_DELAY_S)
         self.records.flush()
 
     def _schedule(
-        self, callers: list[Caller], traffic: Traffic, previous: float
+        self, clients: list[Caller], traffic: Traffic, previous: float
     ) -> None:
         """Schedule the next request, whether or not earlier ones have ended."""
         if traffic.rate <= 0:
@@ -306,14 +306,14 @@
         at = previous + self.random.expovariate(traffic.rate)
         if at < self.ends_at:
             delay = max(at - monotonic(), 0.0)
-            self.reactor.callLater(delay, self._start_operation, callers, traffic, at)
+            self.reactor.callLater(delay, self._start_operation, clients, traffic, at)
 
     def _start_operation(
-        self, callers: list[Caller], traffic: Traffic, at: float
+        self, clients: list[Caller], traffic: Traffic, at: float
     ) -> None:
-        self._schedule(callers, traffic, at)
-        caller = self.random.choice(callers)
-        Deferred.fromCoroutine(self._perform(caller, self._plan_operation(traffic, at)))
+        self._schedule(clients, traffic, at)
+        client = self.random.choice(clients)
+        Deferred.fromCoroutine(self._perform(client, self._plan_operation(traffic, at)))
 
     def _plan_operation(self, traffic: Traffic, at: float) -> Wanted:
         self.number += 1
@@ -323,10 +323,10 @@
         body = f"body of {name}".encode() if traffic.method == "POST" else b""
         return Wanted(name, traffic, path, body, at)
 
-    async def _perform(self, caller: Caller, planned: Wanted) -> None:
+    async def _perform(self, client: Caller, planned: Wanted) -> None:
         self.in_flight += 1
         try:
-            operation = await caller.perform(planned)
+            operation = await client.perform(planned)
             self.records.write(json.encode(operation) + b"\n")
         finally:
             self.in_flight -= 1
--- a/bench/closed_loop.py
+++ b/bench/closed_loop.py
@@ -118,13 +118,13 @@
     """Run the load and print its summary."""
     host, port = split_address(_TARGET.value)
     request = f"GET {_PATH.value} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
-    load = _LoadFactory(request)
+    factory = _LoadFactory(request)
     for _ in range(_CONNECTIONS.value):
-        reactor.connectTCP(host, port, load)
-    reactor.callLater(_WARM_UP.value, load.start_measuring)
-    reactor.callLater(_WARM_UP.value + _SECONDS.value, load.stop_measuring)
+        reactor.connectTCP(host, port, factory)
+    reactor.callLater(_WARM_UP.value, factory.start_measuring)
+    reactor.callLater(_WARM_UP.value + _SECONDS.value, factory.stop_measuring)
     reactor.run()
-    measurements = load.measurements
+    measurements = factory.measurements
     summary = LoadSummary(
         measurements.requests,
         measurements.failures,
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -36,7 +36,7 @@
 
 @define
 class Timings:
-    """The time that each event of the demonstration took to take effect."""
+    """The seconds until each event of the demonstration took effect."""
 
     fleet_start_s: float = 0.0
     rules_in_force_s: float = 0.0
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -121,7 +121,7 @@
     result.violations += _violation_lines(result.report)
     late = late_work(events, [*runner.leaving, *operators.leaving])
     result.violations += [f"late work: {x}" for x in late]
-    result.most_moved = _most_moved(fleet, operations, events)
+    result.most_moved = _max_moved(fleet, operations, events)
     if result.most_moved > SHIFT_CAP:
         result.violations.append(f"cap {SHIFT_CAP}/s: {result.most_moved} in 1 s")
     result.violations += [*runner.problems, *operators.problems]
@@ -134,16 +134,16 @@
 def _violation_lines(report: Report) -> list[str]:
     """Return one line for each violation in a report."""
     names = ("wrong", "duplicates", "untruthful", "invented", "over_slots")
-    found = []
+    lines = []
     for name in names:
         examples = report.examples.get(name, [])
         count = getattr(report, name)
-        found += [f"{name}: {x}" for x in examples]
-        found += [f"{name}: not shown"] * (count - len(examples))
-    return found
+        lines += [f"{name}: {x}" for x in examples]
+        lines += [f"{name}: not shown"] * (count - len(examples))
+    return lines
 
 
-def _most_moved(fleet: Fleet, operations: list, events: list) -> int:
+def _max_moved(fleet: Fleet, operations: list, events: list) -> int:
     source, target = shift_regions(fleet)
     deployment = fleet.plan.deployment
     targets = [x.name for x in deployment.failure_domains if x.region == target]
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -24,7 +24,7 @@
 # acquire its slots before it fails again.
 RECOVERY_S = 5.0
 STOP_TIMEOUT_S = 30.0
-MAX_CHOICES = 10
+MAX_TRIES = 10
 
 INSTANCE_KINDS = (
     "kill_entry",
@@ -91,7 +91,7 @@
     random: Random,
 ) -> PlannedFault | None:
     """Return a fault of a target that has none; None if no free target was found."""
-    for _ in range(MAX_CHOICES):
+    for _ in range(MAX_TRIES):
         kind = random.choice(KINDS)
         targets = _choose_targets(plan, kind, random)
         duration_s = random.uniform(MIN_FAULT_S, MAX_FAULT_S)
--- a/bench/soak_operators.py
+++ b/bench/soak_operators.py
@@ -32,13 +32,13 @@
     ended_at: float
 
 
-def tool(fleet: Fleet, asked: tuple[str, ...], *arguments: str) -> ToolRun:
+def tool(fleet: Fleet, instances: tuple[str, ...], *arguments: str) -> ToolRun:
     """Run the tool with the admin addresses of some instances."""
-    admins = ",".join(fleet.addresses.admin(name) for name in asked)
+    admins = ",".join(fleet.addresses.admin(name) for name in instances)
     command = (sys.executable, "-m", "ebonybend.cli", *arguments, f"--admin={admins}")
-    done = run(command, cwd=ROOT, capture_output=True, timeout=TOOL_TIMEOUT_S)
-    output = (done.stdout + done.stderr).decode("utf-8", "replace")
-    return ToolRun(done.returncode, output, monotonic())
+    completed = run(command, cwd=ROOT, capture_output=True, timeout=TOOL_TIMEOUT_S)
+    output = (completed.stdout + completed.stderr).decode("utf-8", "replace")
+    return ToolRun(completed.returncode, output, monotonic())
 
 
 def shift_service(fleet: Fleet) -> str:
@@ -53,7 +53,7 @@
     return regions[0], regions[1]
 
 
-def rules_text(fleet: Fleet, share: int | None, latency: float) -> str:
+def rules_text(fleet: Fleet, share: int | None, latency_weight: float) -> str:
     """Return rules with a cap, and a shift if a share is given.
 
     The cap also limits overflow, so all requests moved between the regions count.
@@ -64,7 +64,7 @@
         "# Ben (operations): narrow link\n"
         f"cap service={service} from={source} to={target} rate={SHIFT_CAP}/s\n"
         "# Ana (association): soak\n"
-        f"weights service={service} latency={latency:.1f} headroom=0.5\n"
+        f"weights service={service} latency={latency_weight:.1f} headroom=0.5\n"
     )
     if share is not None:
         text += (
@@ -109,18 +109,20 @@
             self.problems.append(repr(error))
 
     def _run_tool(self, random: Random, *arguments: str) -> ToolRun:
-        asked = tuple(random.sample(self.fleet.instances, ADMIN_COUNT))
+        instances = tuple(random.sample(self.fleet.instances, ADMIN_COUNT))
         common = ("--author=Ben", "--why=soak", f"--wait={CONFIRM_WAIT_S}")
-        done = tool(self.fleet, asked, *arguments, *common)
-        self.runs.append(done)
-        if done.status not in EXPECTED_STATUSES or "Traceback" in done.output:
-            self.problems.append(f"{arguments}: {done.status} {done.output[-500:]}")
-        return done
+        tool_run = tool(self.fleet, instances, *arguments, *common)
+        self.runs.append(tool_run)
+        if tool_run.status not in EXPECTED_STATUSES or "Traceback" in tool_run.output:
+            self.problems.append(
+                f"{arguments}: {tool_run.status} {tool_run.output[-500:]}"
+            )
+        return tool_run
 
     def _shift(self, random: Random) -> None:
         """Replace the rules with a random shift and random weights."""
-        asked = tuple(random.sample(self.fleet.instances, ADMIN_COUNT))
-        current = tool(self.fleet, asked, "show")
+        instances = tuple(random.sample(self.fleet.instances, ADMIN_COUNT))
+        current = tool(self.fleet, instances, "show")
         revision_line = next(
             (x for x in current.output.splitlines() if x.startswith("# revision:")),
             None,
@@ -139,11 +141,11 @@
             name, kind = random.choice(self.fleet.instances), "--instance"
         else:
             name, kind = random.choice(self.fleet.plan.servers).name, "--backend"
-        done = self._run_tool(random, "drain", name, kind)
+        drain = self._run_tool(random, "drain", name, kind)
         self.stopping.wait(random.uniform(MIN_PAUSE_S, MAX_PAUSE_S))
         until = monotonic()
         undrain = self._run_tool(random, "undrain", name, kind)
         # The other operator's rules may have removed the drain already.
-        in_force = done.status == 0 and undrain.status == 0
+        in_force = drain.status == 0 and undrain.status == 0
         if kind == "--backend" and in_force:
-            self.leaving.append(Leaving(name, done.ended_at, until))
+            self.leaving.append(Leaving(name, drain.ended_at, until))
