--- a/bench/caller.py
+++ b/bench/caller.py
@@ -281,7 +281,7 @@
         self.records = records
         self.random = Random(plan.seed)
         self.ends_at = monotonic() + plan.duration_s
-        self.number = 0
+        self.operation_count = 0
         self.in_flight = 0
         self.done: Deferred[None] = Deferred()
 
@@ -316,8 +316,8 @@
         Deferred.fromCoroutine(self._perform(client, self._plan_operation(traffic, at)))
 
     def _plan_operation(self, traffic: Traffic, at: float) -> Wanted:
-        self.number += 1
-        name = f"{self.plan.seed}-{self.number}"
+        self.operation_count += 1
+        name = f"{self.plan.seed}-{self.operation_count}"
         size = self.random.randint(traffic.smallest_answer, traffic.largest_answer)
         path = f"{traffic.path}?op={name}&size={size}"
         body = f"body of {name}".encode() if traffic.method == "POST" else b""
