--- a/ebonybend/__init__.py
+++ b/ebonybend/__init__.py
@@ -1,1 +1,1 @@
-"""Global traffic steering between callers and backend servers."""
+"""Global traffic steering between clients and backend servers."""
--- a/ebonybend/addresses.py
+++ b/ebonybend/addresses.py
@@ -4,7 +4,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the IP address and the port of "ip:port"; raise ValueError if bad."""
+    """Return the IP address and the port of "ip:port"; raise ValueError if invalid."""
     host, _, port = address.rpartition(":")
     ip_address(host)
     number = int(port)
--- a/ebonybend/cli.py
+++ b/ebonybend/cli.py
@@ -32,7 +32,7 @@
 
 @frozen
 class ErrorReport:
-    """An error for programs."""
+    """An error as JSON, for programs that run the tool."""
 
     kind: str
     message: str
@@ -44,13 +44,13 @@
     environment: Mapping[str, str] | None = None,
 ) -> int:
     """Run the tool and return its exit status."""
-    words = sys.argv[1:] if arguments is None else arguments
+    command_line = sys.argv[1:] if arguments is None else arguments
     variables = os.environ if environment is None else environment
     _write_utf8()
     try:
-        options, values = parse_options(words, variables)
+        options, values = parse_options(command_line, variables)
     except SteeringError as error:
-        return _report(error, "--json" in words)
+        return _report(error, "--json" in command_line)
     try:
         return _run(options, values)
     except SteeringError as error:
@@ -64,7 +64,7 @@
 
 
 def _write_utf8() -> None:
-    """Write UTF-8 in any locale, since `check` and `apply` read UTF-8."""
+    """Write UTF-8 in any locale, because `check` and `apply` read UTF-8."""
     for stream in (sys.stdout, sys.stderr):
         if isinstance(stream, TextIOWrapper):
             stream.reconfigure(encoding="utf-8", errors="backslashreplace")
@@ -123,7 +123,7 @@
 
 
 def _report(error: SteeringError, as_json: bool) -> int:
-    """Print an error and return the exit status that its kind gives."""
+    """Print an error and return the exit status for its kind."""
     if as_json:
         report = ErrorReport(error.kind.value, error.message, error.answer.advice)
         print(to_json(report).decode())
--- a/ebonybend/clock.py
+++ b/ebonybend/clock.py
@@ -1,4 +1,4 @@
-"""Monotonic time as a value that is passed in."""
+"""Sources of monotonic time, so that tests can pass in their own."""
 
 from time import monotonic
 from typing import Protocol
@@ -21,15 +21,15 @@
 
 
 class ManualClock:
-    """A clock that tests move by hand."""
+    """A clock for tests that changes only when it is advanced."""
 
     def __init__(self, start: float = 1000.0):
         self.now = start
 
     def monotonic(self) -> float:
-        """Return the time that was set."""
+        """Return the clock's time in seconds."""
         return self.now
 
     def advance(self, seconds: float) -> None:
-        """Move the clock forward."""
+        """Move the clock forward by a number of seconds."""
         self.now += seconds
--- a/ebonybend/codec.py
+++ b/ebonybend/codec.py
@@ -1,4 +1,7 @@
-"""Encode and decode attrs classes: MessagePack between processes, JSON outside."""
+"""Encode and decode attrs classes as MessagePack or JSON.
+
+Processes exchange MessagePack with each other and JSON with everything else.
+"""
 
 from typing import Any, TypeVar
 
@@ -14,10 +17,10 @@
     return msgpack.encode(message)
 
 
-def unpack(data: bytes, kind: type[T]) -> T:
-    """Decode a MessagePack message; raise BAD_REQUEST if it doesn't fit the type."""
+def unpack(data: bytes, message_type: type[T]) -> T:
+    """Decode a MessagePack message; raise BAD_REQUEST if it doesn't match the type."""
     try:
-        return msgpack.decode(data, type=kind)
+        return msgpack.decode(data, type=message_type)
     except (DecodeError, ValidationError) as error:
         raise SteeringError(ErrorKind.BAD_REQUEST, str(error)) from error
 
@@ -27,9 +30,9 @@
     return json.encode(message)
 
 
-def from_json(data: bytes, kind: type[T]) -> T:
-    """Decode a JSON message; raise BAD_REQUEST if it doesn't fit the type."""
+def from_json(data: bytes, message_type: type[T]) -> T:
+    """Decode a JSON message; raise BAD_REQUEST if it doesn't match the type."""
     try:
-        return json.decode(data, type=kind)
+        return json.decode(data, type=message_type)
     except (DecodeError, ValidationError) as error:
         raise SteeringError(ErrorKind.BAD_REQUEST, str(error)) from error
--- a/ebonybend/daemon.py
+++ b/ebonybend/daemon.py
@@ -13,7 +13,7 @@
 def run(settings: Settings) -> int:
     """Run the process of the chosen role and return the exit status."""
     install_reactor()
-    # These modules import the installed reactor.
+    # Imported here, because these modules import the reactor installed above.
     if settings.role == "control":
         from ebonybend.control.service import run_control
 
--- a/ebonybend/errors.py
+++ b/ebonybend/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the answer that each one gives."""
+"""All error kinds and the HTTP answer for each of them."""
 
 from enum import Enum
 from types import MappingProxyType
@@ -8,7 +8,7 @@
 
 
 class Outcome(Enum):
-    """What a caller may conclude about whether its request ran."""
+    """What a client may conclude about whether its request ran."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
@@ -17,7 +17,7 @@
 
 
 class ErrorKind(Enum):
-    """Every kind of error that a caller or an operator can receive."""
+    """Every kind of error that a client or an operator can receive."""
 
     BAD_REQUEST = "bad_request"
     UNKNOWN_SERVICE = "unknown_service"
@@ -56,7 +56,7 @@
 
 @frozen
 class Answer:
-    """How an error kind is answered over HTTP."""
+    """The HTTP status, outcome and advice for an error kind."""
 
     status: int
     outcome: Outcome
@@ -71,8 +71,8 @@
     "The request did not run and won't. It is safe to send it again "
     "after the retry time, a write under a new key."
 )
-# The key was not read, so nothing is said of other copies of the request.
-_RESEND_COPY = (
+# The idempotency key was not read, so other copies of the request may have run.
+_RESEND_SAME_KEY = (
     "This copy of the request did not run. It is safe to send it again, "
     "a write under the same key."
 )
@@ -93,8 +93,8 @@
         ErrorKind.BAD_DEADLINE: Answer(400, Outcome.BAD_REQUEST, _CORRECT),
         ErrorKind.KEY_REQUIRED: Answer(428, Outcome.BAD_REQUEST, _CORRECT),
         ErrorKind.BAD_KEY: Answer(400, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.SLOW_CALLER: Answer(408, Outcome.NOT_RUN, _RESEND_COPY),
-        ErrorKind.TOO_MANY_CONNECTIONS: Answer(503, Outcome.NOT_RUN, _RESEND_COPY),
+        ErrorKind.SLOW_CALLER: Answer(408, Outcome.NOT_RUN, _RESEND_SAME_KEY),
+        ErrorKind.TOO_MANY_CONNECTIONS: Answer(503, Outcome.NOT_RUN, _RESEND_SAME_KEY),
         ErrorKind.NOT_READY: Answer(503, Outcome.NOT_RUN, _RESEND_LATER),
         ErrorKind.DRAINING: Answer(503, Outcome.NOT_RUN, _RESEND),
         ErrorKind.OVERLOADED: Answer(503, Outcome.NOT_RUN, _RESEND_LATER),
@@ -142,7 +142,7 @@
 
 
 class SteeringError(Exception):
-    """An error of a kind from the closed list."""
+    """An error that is answered according to its ErrorKind."""
 
     def __init__(
         self, kind: ErrorKind, message: str, retry_after_ms: int | None = None
@@ -154,12 +154,12 @@
 
     @property
     def answer(self) -> Answer:
-        """Return the answer that this error's kind gives."""
+        """Return the HTTP answer for this error's kind."""
         return ANSWERS[self.kind]
 
 
 def bad_setting(flag: str, value: Any, allowed: str) -> SteeringError:
-    """Return the error for a setting, in one line."""
+    """Return the error for a flag's value that is not valid, as one line."""
     return SteeringError(
         ErrorKind.BAD_SETTING, f"--{flag}={value!r} is not valid: {allowed}"
     )
--- a/ebonybend/http_client.py
+++ b/ebonybend/http_client.py
@@ -1,4 +1,4 @@
-"""An HTTP client that tells a request that was not sent from one that may have run."""
+"""HTTP client whose errors separate unsent requests from those that may have run."""
 
 from collections.abc import Callable, Mapping
 from enum import Enum
@@ -29,12 +29,12 @@
 from ebonybend.timeouts import Timeout
 
 # Shorter than the idle time-out of the servers, so that a connection is not reused
-# while the other side closes it.
-IDLE_CONNECTION_S = 15.0
-# Longest idle age of a connection that carries a request which must not be sent twice.
-# Entries close no connection that was used within the last look-up lifetime, so a
-# younger one can't be closed by the other side while the request is under way.
-RECENT_CONNECTION_S = 1.0
+# while the server closes it.
+MAX_IDLE_S = 15.0
+# Longest idle time of a connection on which a request is sent that must not run twice.
+# An entry closes no connection that was used within the last lookup lifetime, so a
+# connection below this idle time isn't closed while the request is in flight.
+RECENT_MAX_IDLE_S = 1.0
 CONNECT_TIMEOUT_S = 1.0
 
 
@@ -43,26 +43,26 @@
 
     ANY = "any"
     RECENT = "recent"
-    # A new connection, closed after the answer.
+    # Open a new connection and close it after the answer.
     NEVER = "never"
 
 
 @frozen
 class HttpAnswer:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     headers: Headers
     body: bytes
 
     def header(self, name: str) -> str | None:
-        """Return the last value of a header, or None."""
+        """Return the last value of a header, or None if it is missing."""
         values = self.headers.getRawHeaders(name)
         return values[-1] if values else None
 
 
 class RequestFailed(Exception):
-    """A request that got no whole answer."""
+    """A request without a complete answer."""
 
 
 class NotSent(RequestFailed):
@@ -70,12 +70,12 @@
 
     def __init__(self, message: str, refused: bool = False):
         super().__init__(message)
-        # The port refused the connection, so no process listens on it.
+        # Whether the port refused the connection, so that no process listens on it.
         self.refused = refused
 
 
 class SendTooLate(NotSent):
-    """The connection was ready only after the request was to be sent."""
+    """The connection became ready after the last time for sending the request."""
 
 
 class AnswerLost(RequestFailed):
@@ -83,7 +83,7 @@
 
 
 class AnswerTimeout(RequestFailed):
-    """No whole answer came in time; the request may run."""
+    """No complete answer was received in time; the request may still run."""
 
 
 class AnswerTooLarge(RequestFailed):
@@ -92,7 +92,7 @@
 
 @implementer(IBodyProducer)
 class _BytesProducer:
-    """Produce a body that is in memory."""
+    """Send a request body that is in memory."""
 
     def __init__(self, body: bytes):
         self.body = body
@@ -116,7 +116,7 @@
 
 
 class _BodyReader(Protocol):
-    """Collect a body and check that it is whole."""
+    """Collect an answer's body and check that it is complete."""
 
     def __init__(self, expected: int | None, limit: int):
         self.expected = expected
@@ -141,7 +141,7 @@
             return
         if not reason.check(ResponseDone):
             # Also covers a body that ends with the connection: without a length or
-            # chunks a truncated body can't be told from a whole one.
+            # chunks a truncated body looks like a complete one.
             self.done.errback(AnswerLost(f"answer cut off after {self.size} bytes"))
         elif self.expected is not None and self.size != self.expected:
             self.done.errback(
@@ -151,11 +151,11 @@
             self.done.callback(b"".join(self.chunks))
 
 
-class _AgedPool(HTTPConnectionPool):
-    """Keep idle connections, and use none over a maximal idle age.
+class _IdleLimitedPool(HTTPConnectionPool):
+    """Keep idle connections, and reuse none that was idle for longer than a limit.
 
-    The age is read when a connection is taken, because the timers of a paused process
-    run late.
+    The idle time is checked when a connection is acquired, because the timers of a
+    paused process fire late.
     """
 
     def __init__(self, reactor: Any, max_idle_s: float, connections_per_host: int):
@@ -166,23 +166,23 @@
         self.cachedConnectionTimeout = max_idle_s
 
     def getConnection(self, key: Any, endpoint: Any) -> Deferred[Any]:
-        """Return the connection that was used last, or a new one."""
+        """Return the most recently used idle connection, or a new one."""
         connections = self._connections.get(key)
         while connections:
             connection = connections.pop()
             timer = self._timeouts.pop(connection)
-            fresh = timer.getTime() > self._reactor.seconds()
+            is_fresh = timer.getTime() > self._reactor.seconds()
             timer.cancel()
             if connection.state != "QUIESCENT":
                 continue
-            if fresh:
+            if is_fresh:
                 return succeed(connection)
             connection.transport.loseConnection()
         return self._newConnection(key, endpoint)
 
 
 def _was_cancelled(error: ResponseFailed) -> bool:
-    """Tell whether this process itself ended the request."""
+    """Return whether this process itself cancelled the request."""
     return any(reason.check(CancelledError) for reason in error.reasons)
 
 
@@ -200,8 +200,10 @@
         self.detects_silence = detects_silence
         self.bind = (source_address, 0) if source_address else None
         self.pools = {
-            Reuse.ANY: _AgedPool(reactor, IDLE_CONNECTION_S, connections_per_host),
-            Reuse.RECENT: _AgedPool(reactor, RECENT_CONNECTION_S, connections_per_host),
+            Reuse.ANY: _IdleLimitedPool(reactor, MAX_IDLE_S, connections_per_host),
+            Reuse.RECENT: _IdleLimitedPool(
+                reactor, RECENT_MAX_IDLE_S, connections_per_host
+            ),
             Reuse.NEVER: HTTPConnectionPool(reactor, persistent=False),
         }
         self.endpoints: dict[str, Any] = {}
@@ -218,9 +220,9 @@
         reuse: Reuse = Reuse.ANY,
         may_send: Callable[[], bool] | None = None,
     ) -> HttpAnswer:
-        """Return the whole answer, or raise a RequestFailed that says what is known.
+        """Return the complete answer, or raise a subclass of RequestFailed.
 
-        may_send is asked once the connection is ready; False raises SendTooLate.
+        may_send is called once the connection is ready; False raises SendTooLate.
         """
         raw = Headers({name: [value] for name, value in (headers or {}).items()})
         raw.setRawHeaders("Host", [address])
@@ -236,7 +238,7 @@
         return await self._read(response, method, deadline, max_body)
 
     async def _connect(self, address: str, reuse: Reuse, timeout: float) -> Any:
-        """Return an idle or a new connection."""
+        """Return an idle or a new connection, or raise NotSent."""
         connecting = self.pools[reuse].getConnection(address, self._endpoint(address))
         if connecting.called:
             timer = None
@@ -272,11 +274,11 @@
         self, connection: Any, request: Request, address: str, deadline: float
     ) -> Any:
         """Send a request and return the response once its headers are received."""
-        started = connection.request(request)
-        left = max(deadline - self.reactor.seconds(), 0.0)
-        timeout = Timeout(self.reactor, left, started.cancel)
+        sending = connection.request(request)
+        remaining_s = max(deadline - self.reactor.seconds(), 0.0)
+        timeout = Timeout(self.reactor, remaining_s, sending.cancel)
         try:
-            return await started
+            return await sending
         except CancelledError as error:
             raise AnswerTimeout("no answer in time") from error
         except RequestNotSent as error:
@@ -293,13 +295,13 @@
     async def _read(
         self, response: Any, method: str, deadline: float, max_body: int
     ) -> HttpAnswer:
-        """Read the body until the time at which the request's time-out ends."""
+        """Return the answer with its body; raise AnswerTimeout after the deadline."""
         length = response.length
         expected = None if length is UNKNOWN_LENGTH or method == "HEAD" else length
         reader = _BodyReader(expected, max_body)
         response.deliverBody(reader)
-        left = max(deadline - self.reactor.seconds(), 0.0)
-        timeout = Timeout(self.reactor, left, reader.done.cancel)
+        remaining_s = max(deadline - self.reactor.seconds(), 0.0)
+        timeout = Timeout(self.reactor, remaining_s, reader.done.cancel)
         try:
             body = await reader.done
         except CancelledError as error:
--- a/ebonybend/http_router.py
+++ b/ebonybend/http_router.py
@@ -1,30 +1,30 @@
-"""Find the handler of a request by method and path."""
+"""Pass requests to handlers by method and path."""
 
 from ebonybend.errors import ErrorKind, SteeringError
 from ebonybend.http_server import Handler, IncomingRequest, OutgoingAnswer
 
 
 class Router:
-    """Find a handler by method and path prefix."""
+    """Pass each request to the handler registered for its method and path."""
 
     def __init__(self) -> None:
         self.routes: list[tuple[str, str, Handler]] = []
 
     def add(self, method: str, prefix: str, handler: Handler) -> None:
-        """Add a handler; a prefix that ends in "/" matches everything below it."""
+        """Add a handler; "*" is any method, a prefix ending in "/" any path below."""
         self.routes.append((method, prefix, handler))
 
     async def __call__(self, request: IncomingRequest) -> OutgoingAnswer:
-        """Answer a request by the first route that matches."""
-        known_path = False
+        """Answer a request with the first matching route's handler."""
+        path_exists = False
         for method, prefix, handler in self.routes:
-            below = prefix.endswith("/") and request.path.startswith(prefix)
-            if not below and request.path != prefix:
+            is_below_prefix = prefix.endswith("/") and request.path.startswith(prefix)
+            if not is_below_prefix and request.path != prefix:
                 continue
-            known_path = True
+            path_exists = True
             if method in ("*", request.method):
                 return await handler(request)
-        if known_path:
+        if path_exists:
             raise SteeringError(
                 ErrorKind.METHOD_NOT_ALLOWED, f"{request.method} is not allowed here"
             )
--- a/ebonybend/http_server.py
+++ b/ebonybend/http_server.py
@@ -1,4 +1,4 @@
-"""An HTTP server with limits, where every refusal has a kind from the closed list."""
+"""HTTP server with request limits, whose error answers all carry an ErrorKind."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from functools import partial
@@ -21,21 +21,21 @@
 
 @frozen
 class HttpLimits:
-    """Limits that protect a listening port."""
+    """Limits on the requests and connections of one listening port."""
 
     max_body_bytes: int = 1 << 20
     max_header_bytes: int = 16 << 10
     max_connections: int = 2000
-    # Time from a request's first byte to its last.
+    # Longest time from a request's first byte to its last.
     receive_timeout_s: float = 5.0
     idle_timeout_s: float = 30.0
-    # Whether the receive time-out ends with the headers.
+    # Whether the receive time-out covers only the headers, not the body.
     times_headers_only: bool = False
 
 
 @frozen
 class IncomingRequest:
-    """A request that was received whole."""
+    """A request whose headers and body were received completely."""
 
     method: str
     path: str
@@ -44,34 +44,34 @@
     raw: Any
 
     def header(self, name: str) -> str | None:
-        """Return a header's value, or None."""
+        """Return a header's value, or None if it is missing."""
         return self.raw.getHeader(name)
 
     def argument(self, name: str) -> str | None:
-        """Return the first value of a query argument, or None."""
+        """Return the first value of a query argument, or None if it is missing."""
         values = self.query.get(name.encode())
         return values[0].decode("utf-8", "replace") if values else None
 
 
 class Pacer(Protocol):
-    """Spread a body over time."""
+    """Limit the rate at which an answer's body is written."""
 
     chunk_bytes: int
 
     async def admit(self, size: int) -> None:
-        """Return when a number of bytes may be sent."""
+        """Wait until a number of bytes may be sent."""
         ...
 
 
 @frozen
 class OutgoingAnswer:
-    """An answer to send."""
+    """An HTTP response that a handler returns."""
 
     status: int = 200
     body: bytes = b""
     headers: Mapping[str, str] = field(factory=dict)
     pacer: Pacer | None = None
-    # Headers that may repeat, in bytes.
+    # Headers as bytes; a name may have several values.
     raw_headers: Headers | None = None
 
 
@@ -80,7 +80,7 @@
 
 @frozen
 class ErrorBody:
-    """The JSON body of every refusal."""
+    """The JSON body of every error answer."""
 
     kind: str
     outcome: str
@@ -93,13 +93,13 @@
 def json_answer(
     value: Any, status: int = 200, headers: Mapping[str, str] | None = None
 ) -> OutgoingAnswer:
-    """Return a value as a JSON answer."""
+    """Return an answer with a value encoded as its JSON body."""
     merged = {"Content-Type": "application/json", **(headers or {})}
     return OutgoingAnswer(status, to_json(value), merged)
 
 
 def error_answer(error: SteeringError, request_id: str | None = None) -> OutgoingAnswer:
-    """Return the answer that an error's kind gives."""
+    """Return the HTTP answer for an error."""
     answer = error.answer
     retry_after = error.retry_after_ms
     if retry_after is None and answer.status == 503:
@@ -123,8 +123,8 @@
     return json_answer(body, answer.status, headers)
 
 
-def raw_error(kind: ErrorKind, message: str) -> bytes:
-    """Return a whole HTTP answer for a connection that has no request yet."""
+def error_answer_bytes(kind: ErrorKind, message: str) -> bytes:
+    """Return an error answer as bytes, for a connection without a parsed request."""
     answer = error_answer(SteeringError(kind, message))
     lines = [f"HTTP/1.1 {answer.status} {kind.value}"]
     lines += [f"{name}: {value}" for name, value in answer.headers.items()]
@@ -133,12 +133,13 @@
 
 
 class _Request(Request):
-    """A request that is passed to the site's handler once it is whole."""
+    """A request that is passed to the site's handler once it is complete."""
 
-    received = 0
-    # Called when the caller closes its connection before it has its answer.
+    received_bytes = 0
+    # Called if the client closes its connection before the answer is written. The
+    # handler then goes on, unless this function cancels it.
     on_gone: Callable[[], None] | None = None
-    # The handler's work; cancelling it ends the request.
+    # The handler's coroutine; cancelling it ends the request.
     running: Deferred[None] | None = None
 
     def gotLength(self, length: int | None) -> None:
@@ -150,37 +151,37 @@
         super().gotLength(min(length or 0, limit) if length is not None else None)
 
     def handleContentChunk(self, data: bytes) -> None:
-        self.received += len(data)
+        self.received_bytes += len(data)
         limit = self.channel.site.limits.max_body_bytes
-        if self.received > limit:
+        if self.received_bytes > limit:
             self.channel.refuse(ErrorKind.BODY_TOO_LARGE, f"body is over {limit} bytes")
             return
         super().handleContentChunk(data)
 
     def process(self) -> None:
-        self.channel.request_received()
+        self.channel.finish_receiving()
         if self.channel.refused:
             return
-        self.gone = False
-        self.notifyFinish().addErrback(self._caller_gone)
-        # The channel is forgotten when the answer is written.
+        self.client_disconnected = False
+        self.notifyFinish().addErrback(self._handle_client_disconnect)
+        # Twisted clears self.channel when the answer is written.
         site = self.channel_site = self.channel.site
         site.running += 1
-        self.running = Deferred.fromCoroutine(self._answer(site))
-        self.running.addBoth(partial(self._ended, site))
+        self.running = Deferred.fromCoroutine(self._run_handler(site))
+        self.running.addBoth(partial(self._decrement_running, site))
 
     @staticmethod
-    def _ended(site: "HttpSite", _result: Any) -> None:
+    def _decrement_running(site: "HttpSite", _result: Any) -> None:
         site.running -= 1
 
-    def _caller_gone(self, _reason: Any) -> None:
-        self.gone = True
+    def _handle_client_disconnect(self, _reason: Any) -> None:
+        self.client_disconnected = True
         if self.on_gone is not None:
             self.on_gone()
         elif self.channel_site.cancels_abandoned and self.running is not None:
             self.running.cancel()
 
-    async def _answer(self, site: "HttpSite") -> None:
+    async def _run_handler(self, site: "HttpSite") -> None:
         try:
             path = self.path.decode("ascii")
             incoming = IncomingRequest(
@@ -198,7 +199,7 @@
                 SteeringError(ErrorKind.BAD_REQUEST, "method or path is not ASCII")
             )
         except CancelledError:
-            # The caller has gone.
+            # The client disconnected.
             return
         except Exception as error:
             get_logger().exception("request_failed", error=repr(error))
@@ -209,8 +210,8 @@
             await self._send_paced(answer, answer.pacer)
 
     def send(self, answer: OutgoingAnswer) -> None:
-        """Write an answer unless the caller has gone."""
-        if self.gone:
+        """Write an answer unless the client has disconnected."""
+        if self.client_disconnected:
             return
         self._write_head(answer)
         if self.method != b"HEAD":
@@ -219,13 +220,13 @@
 
     async def _send_paced(self, answer: OutgoingAnswer, pacer: Pacer) -> None:
         """Write an answer in chunks, each when the pacer admits it."""
-        if not self.gone:
+        if not self.client_disconnected:
             self._write_head(answer)
-        # Also an empty body is written, because the first write sends the headers.
+        # An empty body is written too, because the first write sends the headers.
         for start in range(0, max(len(answer.body), 1), pacer.chunk_bytes):
             chunk = answer.body[start : start + pacer.chunk_bytes]
             await pacer.admit(len(chunk))
-            if self.gone:
+            if self.client_disconnected:
                 return
             self.write(chunk)
         self.finish()
@@ -243,7 +244,7 @@
 
 
 class _Channel(HTTPChannel):
-    """A connection that limits the size and the time of a request."""
+    """A connection that limits the size and the receive time of each request."""
 
     refused = False
     receive_timer: Any = None
@@ -265,14 +266,14 @@
             return
         if self.receive_timer is None:
             self.receive_timer = self.site.reactor.callLater(
-                self.site.limits.receive_timeout_s, self._receive_timeout
+                self.site.limits.receive_timeout_s, self._refuse_slow_client
             )
         super().dataReceived(data)
 
     def allHeadersReceived(self) -> None:
         timer = self.receive_timer
-        timed = timer is not None and timer.active()
-        if timed and self.site.limits.times_headers_only:
+        timer_is_active = timer is not None and timer.active()
+        if timer_is_active and self.site.limits.times_headers_only:
             timer.cancel()
         super().allHeadersReceived()
 
@@ -291,17 +292,17 @@
     def _respondToBadRequestAndDisconnect(self) -> None:
         self.refuse(ErrorKind.BAD_REQUEST, "malformed HTTP request")
 
-    def _receive_timeout(self) -> None:
+    def _refuse_slow_client(self) -> None:
         self.receive_timer = None
         limit = self.site.limits.receive_timeout_s
         self.refuse(ErrorKind.SLOW_CALLER, f"request not received whole in {limit} s")
 
     def timeoutConnection(self) -> None:
-        # The limit may have grown since the connection became idle.
-        longer = self.site.limits.idle_timeout_s - self.timeOut
-        if longer > 0:
+        # The limit may have been raised since the connection became idle.
+        extra_s = self.site.limits.idle_timeout_s - self.timeOut
+        if extra_s > 0:
             self.timeOut = self.site.limits.idle_timeout_s
-            self.setTimeout(longer)
+            self.setTimeout(extra_s)
             return
         super().timeoutConnection()
 
@@ -310,8 +311,8 @@
             self.receive_timer.cancel()
         self.receive_timer = None
 
-    def request_received(self) -> None:
-        """Stop the receive timer; the request is whole."""
+    def finish_receiving(self) -> None:
+        """End the receipt of a request: stop its timer and reset the header count."""
         self._stop_timer()
         self.header_bytes = 0
 
@@ -322,21 +323,23 @@
         self.refused = True
         self._stop_timer()
         if self.transport is not None:
-            self.transport.write(raw_error(kind, message))
+            self.transport.write(error_answer_bytes(kind, message))
             self.transport.loseConnection()
 
 
 class _RefusedConnection(ConnectionProtocol):
-    """A connection over the limit."""
+    """A connection over max_connections, which is answered and closed at once."""
 
     def connectionMade(self) -> None:
         message = "too many connections"
-        self.transport.write(raw_error(ErrorKind.TOO_MANY_CONNECTIONS, message))
+        self.transport.write(
+            error_answer_bytes(ErrorKind.TOO_MANY_CONNECTIONS, message)
+        )
         self.transport.loseConnection()
 
 
 class HttpSite(Site):
-    """A listening site that passes whole requests to one handler."""
+    """A Twisted site that passes each complete request to one handler."""
 
     def __init__(self, reactor: Any, handler: Handler, limits: HttpLimits):
         super().__init__(
@@ -348,16 +351,16 @@
         self.handler = handler
         self.limits = limits
         self.connections = 0
-        # Requests whose answer is not written yet.
+        # Number of requests whose answer is not written yet.
         self.running = 0
         self.channels: set[_Channel] = set()
-        # Set while stopping: answers ask the caller to close its connection.
+        # Set while the process stops: answers then carry Connection: close.
         self.closing = False
-        # Whether a handler is cancelled when its caller leaves.
+        # Whether a handler is cancelled when its client disconnects.
         self.cancels_abandoned = False
 
     def buildProtocol(self, addr: Any) -> Any:
-        """Accept a connection, or refuse it when too many are open."""
+        """Accept a connection, or refuse it if too many are open."""
         if self.connections >= self.limits.max_connections:
             return _RefusedConnection()
         channel = _Channel()
@@ -371,15 +374,15 @@
         return channel
 
     def close_idle(self) -> None:
-        """Close each connection that carries no request."""
+        """Close each connection that has no request in progress."""
         for channel in list(self.channels):
             if not channel.requests and channel.receive_timer is None:
                 channel.loseConnection()
 
     def close_connections(self) -> None:
-        """Close each connection when what was written to it is sent."""
+        """Close each connection once its buffered output is sent."""
         for channel in list(self.channels):
             channel.loseConnection()
 
     def log(self, request: Any) -> None:
-        """Write no access log; the handler logs what it decides."""
+        """Write no access log; the handlers log their decisions."""
--- a/ebonybend/listening.py
+++ b/ebonybend/listening.py
@@ -12,7 +12,7 @@
 
 
 def listen(reactor: Any, flag: str, address: str, site: HttpSite) -> Any:
-    """Open a listening port; raise BAD_SETTING naming the flag if it is in use."""
+    """Open a listening port; raise BAD_SETTING with the flag's name if that fails."""
     host, port = split_address(address)
     try:
         return reactor.listenTCP(port, site, backlog=LISTEN_BACKLOG, interface=host)
--- a/ebonybend/logs.py
+++ b/ebonybend/logs.py
@@ -11,58 +11,59 @@
 
 
 class LogFile(Protocol):
-    """Where lines are written."""
+    """A file for log lines."""
 
     def write(self, text: str) -> Any:
         """Write a line."""
         ...
 
     def flush(self) -> None:
-        """Hand on what is buffered."""
+        """Write out buffered lines."""
         ...
 
 
 class LossyFile:
-    """Write to a descriptor without waiting; drop lines that its reader doesn't take.
+    """Write to a descriptor without blocking; drop lines while its buffer is full.
 
-    The descriptor is made non-blocking, so a reader that stops can't stop the process.
+    The descriptor is made non-blocking, because a write to a pipe whose reader has
+    stopped would otherwise block the whole process.
     """
 
     def __init__(self, descriptor: int):
         self.descriptor = descriptor
         os.set_blocking(descriptor, False)
-        # The rest of a line of which a part was written.
-        self.rest = b""
+        # Remaining bytes of a line that was written in part.
+        self.unsent = b""
         self.dropped = 0
 
     def write(self, text: str) -> None:
         """Write a line, or drop it and count it."""
         data = text.encode("utf-8", "backslashreplace")
-        if self.rest and not self._send(self.rest):
+        if self.unsent and not self._write_available(self.unsent):
             self.dropped += 1
             return
-        self._send(data, fresh=True)
+        self._write_available(data, is_new_line=True)
 
     def flush(self) -> None:
-        """Do nothing; nothing is buffered that could be written."""
+        """Do nothing; each write goes to the descriptor at once."""
 
-    def _send(self, data: bytes, fresh: bool = False) -> bool:
+    def _write_available(self, data: bytes, is_new_line: bool = False) -> bool:
         try:
             written = os.write(self.descriptor, data)
         except BlockingIOError:
-            if fresh:
+            if is_new_line:
                 self.dropped += 1
             return False
         except OSError:
-            # The reader is gone, so there is nowhere to report it.
+            # The reader has closed its end, so the error can't be logged.
             self.dropped += 1
             return False
-        self.rest = data[written:]
-        return not self.rest
+        self.unsent = data[written:]
+        return not self.unsent
 
 
 def configure_logs(level: str, file: LogFile | None = None, **identity: Any) -> None:
-    """Write JSON lines at or above a level, each with the process's identity.
+    """Write log lines at or above a level as JSON, each with the identity's fields.
 
     Lines go to standard error unless a file is given.
     """
--- a/ebonybend/loop.py
+++ b/ebonybend/loop.py
@@ -1,4 +1,4 @@
-"""Twisted's reactor on an asyncio loop, with less work per timer and per write."""
+"""Twisted reactor on an asyncio loop, with lower cost per timer and per write."""
 
 from asyncio import AbstractEventLoop, new_event_loop, set_event_loop
 from collections.abc import Callable
@@ -14,126 +14,129 @@
 
 @implementer(IDelayedCall)
 class LoopTimer:
-    """A delayed call that is one timer of the loop."""
+    """A Twisted delayed call that is one timer of the asyncio loop."""
 
-    __slots__ = ("loop", "work", "time", "handle", "state")
+    __slots__ = ("loop", "callback", "time", "handle", "inactive_error")
 
-    def __init__(self, loop: AbstractEventLoop, delay: float, work: Callable[[], Any]):
+    def __init__(
+        self, loop: AbstractEventLoop, delay: float, callback: Callable[[], Any]
+    ):
         self.loop = loop
-        self.work = work
+        self.callback = callback
         self.time = loop.time() + delay
         self.handle = loop.call_at(self.time, self._run)
-        self.state: type[Exception] | None = None
+        # Raised by each change of a call that was made or cancelled.
+        self.inactive_error: type[Exception] | None = None
 
     def _run(self) -> None:
         if self.time > self.loop.time():
-            # The call was moved to a later time, which keeps the earlier timer.
+            # The call was delayed; delaying it leaves the earlier timer in place.
             self.handle = self.loop.call_at(self.time, self._run)
             return
-        self.state = AlreadyCalled
-        self.work()
+        self.inactive_error = AlreadyCalled
+        self.callback()
 
     def active(self) -> int:
-        """Return whether the call is still to be made."""
-        return self.state is None
+        """Return whether the call is still pending."""
+        return self.inactive_error is None
 
     def getTime(self) -> float:
-        """Return the loop's time at which the call is made."""
+        """Return the time of the call, on the loop's clock."""
         return self.time
 
     def cancel(self) -> None:
-        """Don't make the call."""
-        self._check()
-        self.state = AlreadyCancelled
+        """Cancel the call."""
+        self._raise_if_inactive()
+        self.inactive_error = AlreadyCancelled
         self.handle.cancel()
 
     def reset(self, secondsFromNow: float) -> None:
-        """Make the call after a time from now."""
-        self._check()
-        self._move(self.loop.time() + secondsFromNow)
+        """Make the call a number of seconds from now."""
+        self._raise_if_inactive()
+        self._reschedule(self.loop.time() + secondsFromNow)
 
     def delay(self, secondsLater: float) -> None:
-        """Make the call later than planned."""
-        self._check()
-        self._move(self.time + secondsLater)
+        """Postpone the call by a number of seconds."""
+        self._raise_if_inactive()
+        self._reschedule(self.time + secondsLater)
 
-    def _check(self) -> None:
-        if self.state is not None:
-            raise self.state
+    def _raise_if_inactive(self) -> None:
+        if self.inactive_error is not None:
+            raise self.inactive_error
 
-    def _move(self, time: float) -> None:
-        sooner = time < self.time
+    def _reschedule(self, time: float) -> None:
+        is_earlier = time < self.time
         self.time = time
-        if sooner:
+        if is_earlier:
             self.handle.cancel()
             self.handle = self.loop.call_at(time, self._run)
 
 
 class LoopReactor(AsyncioSelectorReactor):
-    """A reactor whose timers are the loop's, and which tries to write before polling.
+    """A reactor that uses the loop's timers and tries to write before it polls.
 
-    The base class keeps a heap of its own and plans its next timer again on every call,
-    and it changes the poll set twice for every write. Both were the largest costs of a
-    forwarded request after HTTP parsing.
+    The base class keeps its own timer heap and reschedules its next timer on every
+    call, and it changes the poll set twice for every write. These were the largest
+    costs of a forwarded request after HTTP parsing.
     """
 
     def __init__(self, loop: AbstractEventLoop):
-        # Writers with data that has not been tried yet, or is being written.
-        self._untried: set[Any] = set()
+        # Writers whose first write is scheduled or in progress.
+        self._pending_writers: set[Any] = set()
         super().__init__(loop)
 
     def seconds(self) -> float:
-        """Return the loop's time, which a change of the wall clock doesn't move."""
+        """Return the loop's monotonic time in seconds."""
         return self._asyncioEventloop.time()
 
     def callLater(
         self, delay: float, callable: Callable[..., Any], *args: Any, **kwargs: Any
     ) -> LoopTimer:
-        """Call a function after a number of seconds."""
+        """Call a function after a delay in seconds."""
 
-        def work() -> None:
+        def callback() -> None:
             try:
                 callable(*args, **kwargs)
             except Exception:
                 self._log.failure("delayed call failed")
 
-        return LoopTimer(self._asyncioEventloop, max(0.0, delay), work)
+        return LoopTimer(self._asyncioEventloop, max(0.0, delay), callback)
 
     def stop(self) -> None:
-        """Stop the reactor in the next turn of the loop."""
+        """Stop the reactor in the next iteration of the loop."""
         super().stop()
         self._asyncioEventloop.call_soon(self.runUntilCurrent)
 
     def addWriter(self, writer: Any) -> None:
-        """Write in the next turn of the loop; poll only for what is left."""
-        if writer in self._writers or writer in self._untried:
+        """Write in the next iteration of the loop; poll only if data remains."""
+        if writer in self._writers or writer in self._pending_writers:
             return
-        self._untried.add(writer)
+        self._pending_writers.add(writer)
         self._asyncioEventloop.call_soon(self._try_write, writer)
 
     def _try_write(self, writer: Any) -> None:
-        if writer not in self._untried:
+        if writer not in self._pending_writers:
             return
         callWithLogger(writer, self._readOrWrite, writer, False)
-        # A writer that has written everything was removed meanwhile.
-        if writer in self._untried:
-            self._untried.discard(writer)
+        # A writer that wrote all its data has called removeWriter by now.
+        if writer in self._pending_writers:
+            self._pending_writers.discard(writer)
             super().addWriter(writer)
 
     def removeWriter(self, writer: Any) -> None:
-        """Write no more for a writer."""
-        if writer in self._untried:
-            self._untried.discard(writer)
+        """Stop writing for a writer."""
+        if writer in self._pending_writers:
+            self._pending_writers.discard(writer)
             return
         super().removeWriter(writer)
 
     def getWriters(self) -> list[Any]:
         """Return all writers."""
-        return [*super().getWriters(), *self._untried]
+        return [*super().getWriters(), *self._pending_writers]
 
 
 def install_reactor() -> None:
-    """Install the reactor on a new asyncio loop, which grpc.aio then shares."""
+    """Install the reactor on a new asyncio loop, which grpc.aio uses too."""
     loop = new_event_loop()
     set_event_loop(loop)
     installReactor(LoopReactor(loop))
--- a/ebonybend/settings.py
+++ b/ebonybend/settings.py
@@ -1,7 +1,7 @@
 """The daemon's settings: flags, each with an environment variable.
 
-A flag on the command line goes before the variable EBONYBEND_<FLAG>, and the variable
-goes before the default.
+A flag on the command line takes precedence over the variable EBONYBEND_<FLAG>, and the
+variable takes precedence over the default.
 """
 
 import os
@@ -21,7 +21,7 @@
 
 @frozen(kw_only=True)
 class Settings:
-    """The checked settings of one daemon process."""
+    """The validated settings of one daemon process."""
 
     role: str
     instance: str
@@ -38,7 +38,7 @@
     exchange_advertise: str
     admin_listen: str
     platform_address: str
-    # Control addresses to ask before the platform's list is known.
+    # Exchange addresses of controls to ask until the platform's list is known.
     seeds: tuple[str, ...]
     default_deadline_ms: int
     longest_deadline_ms: int
@@ -54,99 +54,99 @@
 
 def define_flags(values: flags.FlagValues) -> None:
     """Define the daemon's flags."""
-    define = {"flag_values": values}
-    flags.DEFINE_string("role", None, "Process role: entry or control.", **define)
-    flags.DEFINE_string("instance", None, "Name of this entry instance.", **define)
+    common = {"flag_values": values}
+    flags.DEFINE_string("role", None, "Process role: entry or control.", **common)
+    flags.DEFINE_string("instance", None, "Name of this entry instance.", **common)
     flags.DEFINE_string(
-        "failure_domain", None, "Failure domain of this instance.", **define
+        "failure_domain", None, "Failure domain of this instance.", **common
     )
-    flags.DEFINE_string("log_level", "info", "Lowest level that is logged.", **define)
+    flags.DEFINE_string("log_level", "info", "Lowest level that is logged.", **common)
     flags.DEFINE_string(
-        "source_address", None, "IP address for outgoing connections.", **define
+        "source_address", None, "IP address for outgoing connections.", **common
     )
     flags.DEFINE_string(
         "control_listen",
         "127.0.0.1:7100",
         "Address on which the control serves its entry (gRPC).",
-        **define,
+        **common,
     )
     flags.DEFINE_string(
-        "public_listen", "127.0.0.1:8080", "Entry: address for callers.", **define
+        "public_listen", "127.0.0.1:8080", "Entry: address for clients.", **common
     )
     flags.DEFINE_string(
         "public_advertise",
         None,
-        "Entry: address for callers as others reach it (default: public_listen).",
-        **define,
+        "Entry: address for clients as others reach it (default: public_listen).",
+        **common,
     )
     flags.DEFINE_string(
-        "peer_listen", "127.0.0.1:7200", "Entry: address for other entries.", **define
+        "peer_listen", "127.0.0.1:7200", "Entry: address for other entries.", **common
     )
     flags.DEFINE_string(
         "peer_advertise",
         None,
         "Entry: peer address as others reach it (default: peer_listen).",
-        **define,
+        **common,
     )
     flags.DEFINE_string(
         "exchange_listen",
         "127.0.0.1:7300",
         "Control: address for other controls.",
-        **define,
+        **common,
     )
     flags.DEFINE_string(
         "exchange_advertise",
         None,
         "Control: exchange address as others reach it (default: exchange_listen).",
-        **define,
+        **common,
     )
     flags.DEFINE_string(
-        "admin_listen", "127.0.0.1:7400", "Control: administration API.", **define
+        "admin_listen", "127.0.0.1:7400", "Control: administration API.", **common
     )
     flags.DEFINE_string(
         "platform_address",
         "127.0.0.1:7000",
         "Control: address of the platform's object API.",
-        **define,
+        **common,
     )
     flags.DEFINE_list(
         "seeds",
         [],
         "Control: exchange addresses of other controls to ask at the start.",
-        **define,
+        **common,
     )
     flags.DEFINE_integer(
-        "default_deadline_ms", 2000, "Deadline of a request without one.", **define
+        "default_deadline_ms", 2000, "Deadline of a request without one.", **common
     )
     flags.DEFINE_integer(
-        "longest_deadline_ms", 5000, "Longest deadline that is accepted.", **define
+        "longest_deadline_ms", 5000, "Longest deadline that is accepted.", **common
     )
     flags.DEFINE_integer(
         "lookup_lifetime_ms",
         5000,
-        "Time for which callers may keep a look-up answer.",
-        **define,
+        "Time for which clients may keep a lookup answer.",
+        **common,
     )
     flags.DEFINE_integer(
         "hold_ms",
         2000,
         "Time after which an instance that was paused no longer uses its slots.",
-        **define,
+        **common,
     )
-    flags.DEFINE_integer("max_body_bytes", 1 << 20, "Largest request body.", **define)
+    flags.DEFINE_integer("max_body_bytes", 1 << 20, "Largest request body.", **common)
     flags.DEFINE_integer(
-        "max_connections", 2000, "Most connections per listening port.", **define
+        "max_connections", 2000, "Most connections per listening port.", **common
     )
     flags.DEFINE_integer(
         "receive_timeout_ms",
         5000,
         "Longest time to receive one request whole.",
-        **define,
+        **common,
     )
 
 
 def apply_environment(values: flags.FlagValues, environment: dict[str, str]) -> None:
-    """Set each flag whose environment variable is set, before the command line."""
+    """Set flags from the environment; call before the command line is parsed."""
     for name in values:
         text = environment.get(ENVIRONMENT_PREFIX + name.upper())
         if text is None:
@@ -161,17 +161,18 @@
 def parse_settings(
     arguments: Sequence[str], environment: dict[str, str] | None = None
 ) -> Settings:
-    """Return checked settings; raise BAD_SETTING naming the flag, value and range."""
+    """Return validated settings; raise BAD_SETTING with flag, value and range."""
     values = flags.FlagValues()
     define_flags(values)
     apply_environment(values, dict(os.environ if environment is None else environment))
     try:
-        rest = values(list(arguments))
+        positional = values(list(arguments))
     except flags.Error as error:
         raise SteeringError(ErrorKind.BAD_SETTING, str(error)) from error
-    if len(rest) > 1:
+    if len(positional) > 1:
         raise SteeringError(
-            ErrorKind.BAD_SETTING, f"unexpected argument {rest[1]!r}: use --flag=value"
+            ErrorKind.BAD_SETTING,
+            f"unexpected argument {positional[1]!r}: use --flag=value",
         )
     return check_settings(values)
 
@@ -197,7 +198,7 @@
 
 
 def check_settings(values: flags.FlagValues) -> Settings:
-    """Check every flag and return the settings."""
+    """Validate every flag and return the settings."""
     _check_choice(values, "role", ROLES)
     _check_choice(values, "log_level", LOG_LEVELS)
     for name in ("instance", "failure_domain"):
@@ -239,6 +240,6 @@
     _check_range(values, "max_connections", 1, 100_000)
     _check_range(values, "receive_timeout_ms", 10, 600_000)
     names = [attribute.name for attribute in Settings.__attrs_attrs__]
-    chosen = {name: values[name].value for name in names}
-    chosen["seeds"] = tuple(chosen["seeds"])
-    return Settings(**chosen)
+    checked = {name: values[name].value for name in names}
+    checked["seeds"] = tuple(checked["seeds"])
+    return Settings(**checked)
--- a/ebonybend/tasks.py
+++ b/ebonybend/tasks.py
@@ -1,4 +1,4 @@
-"""Background coroutines on the reactor that end together."""
+"""Background coroutines on the reactor that are cancelled together."""
 
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any, Protocol
@@ -11,7 +11,7 @@
 
 
 class Timers(Protocol):
-    """The part of the reactor that counts time; seconds() is monotonic."""
+    """The timer methods of the reactor, whose clock is monotonic."""
 
     def seconds(self) -> float:
         """Return the time in seconds."""
@@ -23,7 +23,7 @@
 
 
 class ReactorClock:
-    """The reactor's time as a Clock."""
+    """A Clock that reads the reactor's time."""
 
     def __init__(self, timers: Timers):
         self.timers = timers
@@ -42,25 +42,25 @@
         self.stopped = False
 
     def start(self, coroutine: Coroutine[Any, Any, Any]) -> Deferred[Any]:
-        """Run a coroutine; log its failure."""
+        """Run a coroutine in the background and log its failure."""
         task = Deferred.fromCoroutine(coroutine)
         self.running.add(task)
         task.addErrback(self._log_failure)
-        task.addBoth(self._ended, task)
+        task.addBoth(self._remove_task, task)
         return task
 
     def sleep(self, seconds: float) -> Deferred[None]:
-        """Return a Deferred that fires after a time."""
+        """Return a Deferred that fires after a number of seconds."""
         return deferLater(self.timers, seconds)
 
     def repeat(
         self, period_s: float, step: Callable[[], Awaitable[None]]
     ) -> Deferred[Any]:
-        """Run a step now and then once per period, also after it failed."""
+        """Run a step now and once per period; a failed step is logged and repeated."""
         return self.start(self._repeat(period_s, step))
 
     def stop(self) -> None:
-        """Cancel everything that runs."""
+        """Cancel all running coroutines and end all repetitions."""
         self.stopped = True
         for task in tuple(self.running):
             task.cancel()
@@ -69,20 +69,20 @@
         self, period_s: float, step: Callable[[], Awaitable[None]]
     ) -> None:
         while not self.stopped:
-            started = self.timers.seconds()
+            started_at = self.timers.seconds()
             try:
                 await step()
             except CancelledError:
                 return
             except Exception as error:
                 get_logger().exception("step_failed", error=repr(error))
-            spent = self.timers.seconds() - started
-            await self.sleep(max(period_s - spent, 0.0))
+            elapsed_s = self.timers.seconds() - started_at
+            await self.sleep(max(period_s - elapsed_s, 0.0))
 
     def _log_failure(self, failure: Failure) -> None:
         if not failure.check(CancelledError):
             get_logger().error("task_failed", error=failure.getTraceback())
 
-    def _ended(self, result: Any, task: Deferred[Any]) -> Any:
+    def _remove_task(self, result: Any, task: Deferred[Any]) -> Any:
         self.running.discard(task)
         return result
--- a/ebonybend/tests/profile.py
+++ b/ebonybend/tests/profile.py
@@ -1,7 +1,7 @@
-"""Settings of hypothesis that all tests share.
+"""Hypothesis settings that all property tests share.
 
-The same examples are drawn in each run, so that CI gives the same verdict every time; a
-failing example is printed as the calls that lead to it.
+Each run draws the same examples, so that CI gives the same result every time; a failing
+example is printed as the calls that lead to it.
 """
 
 from hypothesis import HealthCheck, settings
--- a/ebonybend/tests/test_http_client.py
+++ b/ebonybend/tests/test_http_client.py
@@ -17,8 +17,8 @@
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 
 
-class Scripted(Protocol):
-    """A server that sends fixed bytes after a request and may then close."""
+class ScriptedServer(Protocol):
+    """A server that answers each request with fixed bytes and may then close."""
 
     def dataReceived(self, data):
         self.factory.requests += 1
@@ -32,13 +32,13 @@
 
     def setUp(self):
         super().setUp()
-        # Closing both sides of a connection takes a few turns of the loop, and the
-        # reactor drops cancelled timers in the turn after.
+        # Closing both sides of a connection takes a few iterations of the reactor, and
+        # it drops cancelled timers in the next one.
         for _ in range(2):
             self.addCleanup(deferLater, reactor, 0.05, lambda: None)
 
     def listen(self, answer, closes):
-        factory = Factory.forProtocol(Scripted)
+        factory = Factory.forProtocol(ScriptedServer)
         factory.answer = answer
         factory.closes = closes
         factory.requests = 0
@@ -50,14 +50,14 @@
     def client(self):
         client = HttpClient(reactor, "127.0.0.2")
         self.addCleanup(client.close)
-        # An answer that is refused for its size may still end whole, and its
-        # connection then returns to the pool after the error.
+        # An answer over the size limit may still be received completely; its connection
+        # then returns to the pool after the error.
         self.addCleanup(deferLater, reactor, 0.05, lambda: None)
         return client
 
 
 class FailureTest(TestWithScenarios, ClientCase):
-    """Guards against a part taken for the whole, and "not sent" after sending."""
+    """Guards against accepting truncated answers, and NotSent for a sent request."""
 
     scenarios = [
         ("closed", {"answer": b"", "closes": True, "error": AnswerLost}),
@@ -78,7 +78,7 @@
             },
         ),
         (
-            "cut in chunks",
+            "closed between chunks",
             {
                 "answer": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 b"5\r\nhello\r\n",
@@ -103,9 +103,9 @@
 
     def test_failure_kind(self):
         address = self.listen(self.answer, self.closes)
-        return Deferred.fromCoroutine(self.send(address))
+        return Deferred.fromCoroutine(self.send_and_expect_error(address))
 
-    async def send(self, address):
+    async def send_and_expect_error(self, address):
         try:
             await self.client().request(
                 "POST", address, "/", body=b"x", timeout=0.2, max_body=100
@@ -114,7 +114,7 @@
             # The client must not have sent the request a second time.
             self.assertEqual(1, self.factory.requests)
         else:
-            self.fail("the failure was not noticed")
+            self.fail("the request raised no error")
 
 
 class SuccessTest(ClientCase):
@@ -130,7 +130,7 @@
             answer = await client.request("GET", address, "/")
             self.assertEqual((200, b"hello"), (answer.status, answer.body))
 
-    def test_refused_connection_is_not_sent(self):
+    def test_refused_connection_raises_not_sent(self):
         port = reactor.listenTCP(0, Factory(), interface="127.0.0.1")
         address = f"127.0.0.1:{port.getHost().port}"
         port.stopListening()
@@ -142,4 +142,4 @@
         except NotSent as error:
             self.assertTrue(error.refused)
         else:
-            self.fail("a refused connection was not noticed")
+            self.fail("the refused connection raised no error")
--- a/ebonybend/tests/test_http_server.py
+++ b/ebonybend/tests/test_http_server.py
@@ -13,11 +13,11 @@
 LIMITS = HttpLimits(
     max_body_bytes=100, max_header_bytes=400, max_connections=2, receive_timeout_s=1.0
 )
-GOOD = b"POST /echo HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
+VALID_REQUEST = b"POST /echo HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
 
 
-class Bench:
-    """A site on an in-memory transport."""
+class InMemoryServer:
+    """An HttpSite whose connections are in-memory transports."""
 
     def __init__(self):
         self.clock = Clock()
@@ -44,7 +44,7 @@
 
 
 class RefusalTest(TestWithScenarios, TestCase):
-    """Guards against a refusal without a kind, or a handler run on a part."""
+    """Guards against refusals without an error kind and handling partial requests."""
 
     scenarios = [
         ("garbage", {"data": b"nonsense\r\n\r\n", "kind": ErrorKind.BAD_REQUEST}),
@@ -84,42 +84,42 @@
     ]
 
     def test_answers_with_kind(self):
-        bench = Bench()
-        answer = bench.send(self.data).value()
+        server = InMemoryServer()
+        answer = server.send(self.data).value()
         expected = ANSWERS[self.kind]
         self.assertIn(b" %d " % expected.status, answer.split(b"\r\n")[0] + b" ")
         self.assertIn(f"Ebonybend-Error: {self.kind.value}".encode(), answer)
-        self.assertEqual([], bench.bodies)
+        self.assertEqual([], server.bodies)
 
 
 class LimitTest(TestCase):
-    """Guards against callers that hold connections without sending a request."""
+    """Guards against clients that hold connections without sending a request."""
 
-    def test_slow_caller_is_refused(self):
-        bench = Bench()
-        transport = bench.send(GOOD[:-1])
-        bench.clock.advance(1.1)
+    def test_slow_client_is_refused(self):
+        server = InMemoryServer()
+        transport = server.send(VALID_REQUEST[:-1])
+        server.clock.advance(1.1)
         self.assertIn(b"slow_caller", transport.value())
-        self.assertEqual([], bench.bodies)
+        self.assertEqual([], server.bodies)
 
     def test_connections_over_the_limit_are_refused(self):
-        bench = Bench()
-        bench.connect()
-        bench.connect()
-        _, transport = bench.connect()
+        server = InMemoryServer()
+        server.connect()
+        server.connect()
+        _, transport = server.connect()
         self.assertIn(b"too_many_connections", transport.value())
 
     def test_keep_alive_requests_are_answered_in_order(self):
-        bench = Bench()
-        transport = bench.send(GOOD + GOOD.replace(b"abc", b"xyz"))
-        self.assertEqual([b"abc", b"xyz"], bench.bodies)
+        server = InMemoryServer()
+        transport = server.send(VALID_REQUEST + VALID_REQUEST.replace(b"abc", b"xyz"))
+        self.assertEqual([b"abc", b"xyz"], server.bodies)
         self.assertLess(
             transport.value().index(b"abc"), transport.value().index(b"xyz")
         )
 
 
 class MalformedRequestTest(TestCase):
-    """Guards against input that raises, hangs or runs a part of a request."""
+    """Guards against input that raises, hangs or runs a partial request."""
 
     @REPEATABLE
     @given(st.binary(max_size=300), st.integers(1, 50))
@@ -127,19 +127,27 @@
         self.check(data, step)
 
     @REPEATABLE
-    @given(st.integers(0, len(GOOD) - 1), st.binary(max_size=3), st.integers(1, 50))
+    @given(
+        st.integers(0, len(VALID_REQUEST) - 1),
+        st.binary(max_size=3),
+        st.integers(1, 50),
+    )
     def test_mutated_request(self, position, replacement, step):
-        data = GOOD[:position] + replacement + GOOD[position + len(replacement) :]
+        data = (
+            VALID_REQUEST[:position]
+            + replacement
+            + VALID_REQUEST[position + len(replacement) :]
+        )
         self.check(data, step)
 
     def check(self, data, step):
-        bench = Bench()
-        protocol, transport = bench.connect()
+        server = InMemoryServer()
+        protocol, transport = server.connect()
         for start in range(0, len(data), step):
             if not transport.disconnecting:
                 protocol.dataReceived(data[start : start + step])
-        bench.clock.advance(LIMITS.receive_timeout_s + 0.1)
-        for body in bench.bodies:
+        server.clock.advance(LIMITS.receive_timeout_s + 0.1)
+        for body in server.bodies:
             self.assertIn(body, data)
         answer = transport.value()
         self.assertTrue(answer == b"" or answer.startswith(b"HTTP/1."))
--- a/ebonybend/tests/test_logs.py
+++ b/ebonybend/tests/test_logs.py
@@ -8,7 +8,7 @@
 
 
 class LossyFileTest(TestCase):
-    """Guards against a process that stops because nobody reads its log."""
+    """Guards against a process that blocks because nothing reads its log."""
 
     def setUp(self):
         super().setUp()
@@ -16,7 +16,7 @@
         self.addCleanup(os.close, self.reader)
         self.addCleanup(os.close, self.writer)
 
-    def test_reader_that_stops_costs_lines_and_no_time(self):
+    def test_writes_do_not_block_after_the_reader_stops(self):
         file = LossyFile(self.writer)
         line = "x" * 999 + "\n"
         for _ in range(200):
@@ -28,7 +28,7 @@
         lines = received.split(b"\n")[:-1]
         self.assertEqual({999}, {len(found) for found in lines})
 
-    def test_lines_are_whole_after_the_reader_returns(self):
+    def test_lines_are_complete_after_the_reader_resumes(self):
         file = LossyFile(self.writer)
         for _ in range(100):
             file.write("a" * 1500 + "\n")
@@ -39,9 +39,9 @@
 
 
 class LineBudgetTest(TestCase):
-    """Guards against a log that grows with the load."""
+    """Guards against a log whose size grows with the request rate."""
 
-    def test_lines_in_a_second(self):
+    def test_allows_the_budget_in_one_second(self):
         budget = LineBudget(MAX_ANSWER_LINES_PER_S)
         allowed = sum(budget.allow(step / 1000) for step in range(1000))
         self.assertEqual(MAX_ANSWER_LINES_PER_S, allowed)
--- a/ebonybend/tests/test_loop.py
+++ b/ebonybend/tests/test_loop.py
@@ -9,14 +9,14 @@
 LARGE = b"x" * (4 << 20)
 
 
-class Collector(Protocol):
+class Receiver(Protocol):
     def connectionMade(self):
         self.transport.write(b"go")
 
     def dataReceived(self, data):
         self.factory.received += len(data)
         if self.factory.received == len(LARGE):
-            self.factory.done()
+            self.factory.on_complete()
 
 
 class LargeSender(Protocol):
@@ -25,7 +25,7 @@
 
 
 class LoopReactorTest(TestCase):
-    """Guards against timers and writes that differ from the reactor's contract."""
+    """Guards against timers and writes that break the contract of Twisted's reactor."""
 
     def setUp(self):
         super().setUp()
@@ -33,7 +33,7 @@
         self.reactor = LoopReactor(loop)
         self.addCleanup(loop.close)
 
-    def run_until_stopped(self):
+    def run_reactor(self):
         self.reactor.callLater(5.0, self.reactor.stop)
         self.reactor.run(installSignalHandlers=False)
 
@@ -48,18 +48,18 @@
         cancelled.cancel()
         self.reactor.callLater(0.03, lambda: 1 / 0)
         self.reactor.callLater(0.1, self.reactor.stop)
-        self.run_until_stopped()
+        self.run_reactor()
         self.assertEqual(["moved sooner", "first", "moved later"], called)
         self.assertRaises(AlreadyCalled, first.cancel)
         self.assertRaises(AlreadyCancelled, cancelled.reset, 1.0)
 
-    def test_a_write_larger_than_the_socket_buffers_arrives_whole(self):
+    def test_write_larger_than_the_socket_buffers_is_received_completely(self):
         port = self.reactor.listenTCP(
             0, ServerFactory.forProtocol(LargeSender), interface="127.0.0.1"
         )
-        factory = ClientFactory.forProtocol(Collector)
+        factory = ClientFactory.forProtocol(Receiver)
         factory.received = 0
-        factory.done = self.reactor.stop
+        factory.on_complete = self.reactor.stop
         self.reactor.connectTCP("127.0.0.1", port.getHost().port, factory)
-        self.run_until_stopped()
+        self.run_reactor()
         self.assertEqual(len(LARGE), factory.received)
--- a/ebonybend/tests/test_settings.py
+++ b/ebonybend/tests/test_settings.py
@@ -4,11 +4,11 @@
 from ebonybend.errors import ErrorKind, SteeringError
 from ebonybend.settings import parse_settings
 
-GOOD = ["ebonybendd", "--role=entry", "--instance=a", "--failure_domain=d"]
+VALID_ARGUMENTS = ["ebonybendd", "--role=entry", "--instance=a", "--failure_domain=d"]
 
 
 class BadSettingTest(TestWithScenarios, TestCase):
-    """Guards against a start with a wrong setting or an error that hides its flag."""
+    """Guards against starting with an invalid setting, and errors without its flag."""
 
     scenarios = [
         ("role", {"flag": "role", "value": "router"}),
@@ -23,9 +23,12 @@
         ("order", {"flag": "default_deadline_ms", "value": "6000"}),
     ]
 
-    def test_names_flag_and_value(self):
+    def test_error_names_flag_and_value(self):
         error = self.assertRaises(
-            SteeringError, parse_settings, [*GOOD, f"--{self.flag}={self.value}"], {}
+            SteeringError,
+            parse_settings,
+            [*VALID_ARGUMENTS, f"--{self.flag}={self.value}"],
+            {},
         )
         self.assertIs(ErrorKind.BAD_SETTING, error.kind)
         self.assertIn(self.flag, error.message)
@@ -34,11 +37,11 @@
 
 
 class PrecedenceTest(TestCase):
-    """Guards against a changed order of flag, environment and default."""
+    """Guards against a wrong precedence of flag, environment and default."""
 
     def test_flag_before_environment_before_default(self):
         environment = {"EBONYBEND_HOLD_MS": "1500", "EBONYBEND_LOG_LEVEL": "error"}
-        settings = parse_settings([*GOOD, "--hold_ms=700"], environment)
+        settings = parse_settings([*VALID_ARGUMENTS, "--hold_ms=700"], environment)
         self.assertEqual(700, settings.hold_ms)
         self.assertEqual("error", settings.log_level)
         self.assertEqual(2000, settings.default_deadline_ms)
--- a/ebonybend/timeouts.py
+++ b/ebonybend/timeouts.py
@@ -1,4 +1,4 @@
-"""Time-outs of processes that may be paused."""
+"""Time-outs that allow for pauses of the process."""
 
 from collections.abc import Callable
 
@@ -6,21 +6,21 @@
 
 
 class Timeout:
-    """Call a function after a time, once what has arrived by then is read.
+    """Call a function after a time, but read received data first.
 
-    A process that was paused fires its timers before it reads its connections. The
-    answer may have arrived during the pause.
+    A process that resumes after a pause fires its timers before it reads its
+    connections, although the answer may have been received during the pause.
     """
 
     def __init__(self, timers: Timers, seconds: float, expire: Callable[[], None]):
         self.timers = timers
         self.expire = expire
-        self.timer = timers.callLater(seconds, self._due)
+        self.timer = timers.callLater(seconds, self._defer_expiry)
 
-    def _due(self) -> None:
+    def _defer_expiry(self) -> None:
         self.timer = self.timers.callLater(0, self.expire)
 
     def stop(self) -> None:
-        """Don't call it."""
+        """Cancel the call."""
         if self.timer.active():
             self.timer.cancel()
