--- a/ebonybend/cli.py
+++ b/ebonybend/cli.py
@@ -19,7 +19,7 @@
 from ebonybend.tool.options import usage_error
 from ebonybend.tool.verbs import allowed_flags, general_help, verb_help
 
-_REFUSALS = frozenset(
+_REFUSED_KINDS = frozenset(
     {
         ErrorKind.BAD_REQUEST,
         ErrorKind.CONFLICT,
@@ -50,11 +50,11 @@
     try:
         options, values = parse_options(command_line, variables)
     except SteeringError as error:
-        return _report(error, "--json" in command_line)
+        return _print_error(error, "--json" in command_line)
     try:
         return _run(options, values)
     except SteeringError as error:
-        return _report(error, options.json)
+        return _print_error(error, options.json)
     except BrokenPipeError:
         # The reader, for example `head`, has closed the pipe.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
@@ -79,7 +79,7 @@
         print(verb_help(verb, values))
         return DONE
     _check_usage(verb, options)
-    result = verb.run(_context(options))
+    result = verb.run(_new_context(options))
     if options.json:
         print(to_json(result.value).decode())
     else:
@@ -106,7 +106,7 @@
         raise usage_error(f"{verb.name} has no flag --{name}")
 
 
-def _context(options: Options) -> Context:
+def _new_context(options: Options) -> Context:
     def progress(line: str) -> None:
         if not options.json:
             print(line, file=sys.stderr)
@@ -122,14 +122,14 @@
     )
 
 
-def _report(error: SteeringError, as_json: bool) -> int:
+def _print_error(error: SteeringError, as_json: bool) -> int:
     """Print an error and return the exit status for its kind."""
     if as_json:
         report = ErrorReport(error.kind.value, error.message, error.answer.advice)
         print(to_json(report).decode())
     else:
         print(f"ebonybend: {error.kind.value}: {error.message}", file=sys.stderr)
-    return REFUSED if error.kind in _REFUSALS else UNREACHABLE_OR_USAGE
+    return REFUSED if error.kind in _REFUSED_KINDS else UNREACHABLE_OR_USAGE
 
 
 if __name__ == "__main__":
--- a/ebonybend/errors.py
+++ b/ebonybend/errors.py
@@ -55,7 +55,7 @@
 
 
 @frozen
-class Answer:
+class ErrorAnswer:
     """The HTTP status, outcome and advice for an error kind."""
 
     status: int
@@ -82,61 +82,63 @@
     "or check its effect by other means."
 )
 
-ANSWERS: MappingProxyType[ErrorKind, Answer] = MappingProxyType(
+ANSWERS: MappingProxyType[ErrorKind, ErrorAnswer] = MappingProxyType(
     {
-        ErrorKind.BAD_REQUEST: Answer(400, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.UNKNOWN_SERVICE: Answer(404, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.UNKNOWN_PATH: Answer(404, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.METHOD_NOT_ALLOWED: Answer(405, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.BODY_TOO_LARGE: Answer(413, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.HEADERS_TOO_LARGE: Answer(431, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.BAD_DEADLINE: Answer(400, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.KEY_REQUIRED: Answer(428, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.BAD_KEY: Answer(400, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.SLOW_CALLER: Answer(408, Outcome.NOT_RUN, _RESEND_SAME_KEY),
-        ErrorKind.TOO_MANY_CONNECTIONS: Answer(503, Outcome.NOT_RUN, _RESEND_SAME_KEY),
-        ErrorKind.NOT_READY: Answer(503, Outcome.NOT_RUN, _RESEND_LATER),
-        ErrorKind.DRAINING: Answer(503, Outcome.NOT_RUN, _RESEND),
-        ErrorKind.OVERLOADED: Answer(503, Outcome.NOT_RUN, _RESEND_LATER),
-        ErrorKind.LINK_FULL: Answer(503, Outcome.NOT_RUN, _RESEND_LATER),
-        ErrorKind.CAP_REACHED: Answer(503, Outcome.NOT_RUN, _RESEND_LATER),
-        ErrorKind.REFUSED_BY_RULE: Answer(403, Outcome.NOT_RUN, _CORRECT),
-        ErrorKind.SUSPECT_REFUSED: Answer(
+        ErrorKind.BAD_REQUEST: ErrorAnswer(400, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.UNKNOWN_SERVICE: ErrorAnswer(404, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.UNKNOWN_PATH: ErrorAnswer(404, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.METHOD_NOT_ALLOWED: ErrorAnswer(405, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.BODY_TOO_LARGE: ErrorAnswer(413, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.HEADERS_TOO_LARGE: ErrorAnswer(431, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.BAD_DEADLINE: ErrorAnswer(400, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.KEY_REQUIRED: ErrorAnswer(428, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.BAD_KEY: ErrorAnswer(400, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.SLOW_CALLER: ErrorAnswer(408, Outcome.NOT_RUN, _RESEND_SAME_KEY),
+        ErrorKind.TOO_MANY_CONNECTIONS: ErrorAnswer(
+            503, Outcome.NOT_RUN, _RESEND_SAME_KEY
+        ),
+        ErrorKind.NOT_READY: ErrorAnswer(503, Outcome.NOT_RUN, _RESEND_LATER),
+        ErrorKind.DRAINING: ErrorAnswer(503, Outcome.NOT_RUN, _RESEND),
+        ErrorKind.OVERLOADED: ErrorAnswer(503, Outcome.NOT_RUN, _RESEND_LATER),
+        ErrorKind.LINK_FULL: ErrorAnswer(503, Outcome.NOT_RUN, _RESEND_LATER),
+        ErrorKind.CAP_REACHED: ErrorAnswer(503, Outcome.NOT_RUN, _RESEND_LATER),
+        ErrorKind.REFUSED_BY_RULE: ErrorAnswer(403, Outcome.NOT_RUN, _CORRECT),
+        ErrorKind.SUSPECT_REFUSED: ErrorAnswer(
             422,
             Outcome.NOT_RUN,
             "This request crashed backend servers and is refused. Ask an operator.",
         ),
-        ErrorKind.DEADLINE_NOT_RUN: Answer(504, Outcome.NOT_RUN, _RESEND),
-        ErrorKind.BACKEND_UNREACHABLE: Answer(502, Outcome.NOT_RUN, _RESEND_LATER),
-        ErrorKind.DEADLINE_EXCEEDED: Answer(504, Outcome.UNKNOWN, _CHECK),
-        ErrorKind.ANSWER_LOST: Answer(502, Outcome.UNKNOWN, _CHECK),
-        ErrorKind.ANSWER_NOT_KEPT: Answer(
+        ErrorKind.DEADLINE_NOT_RUN: ErrorAnswer(504, Outcome.NOT_RUN, _RESEND),
+        ErrorKind.BACKEND_UNREACHABLE: ErrorAnswer(502, Outcome.NOT_RUN, _RESEND_LATER),
+        ErrorKind.DEADLINE_EXCEEDED: ErrorAnswer(504, Outcome.UNKNOWN, _CHECK),
+        ErrorKind.ANSWER_LOST: ErrorAnswer(502, Outcome.UNKNOWN, _CHECK),
+        ErrorKind.ANSWER_NOT_KEPT: ErrorAnswer(
             410,
             Outcome.ANSWERED,
             "The request ran once. Its answer was too large to be kept.",
         ),
-        ErrorKind.OUTCOME_UNKNOWN: Answer(502, Outcome.UNKNOWN, _CHECK),
-        ErrorKind.KEY_EXPIRED: Answer(410, Outcome.UNKNOWN, _CHECK),
-        ErrorKind.KEY_NOT_RUN: Answer(409, Outcome.NOT_RUN, _RESEND),
-        ErrorKind.INVALID_RULES: Answer(422, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.CONFLICT: Answer(
+        ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(502, Outcome.UNKNOWN, _CHECK),
+        ErrorKind.KEY_EXPIRED: ErrorAnswer(410, Outcome.UNKNOWN, _CHECK),
+        ErrorKind.KEY_NOT_RUN: ErrorAnswer(409, Outcome.NOT_RUN, _RESEND),
+        ErrorKind.INVALID_RULES: ErrorAnswer(422, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.CONFLICT: ErrorAnswer(
             412,
             Outcome.NOT_RUN,
             "Another change was accepted first. Compare, then apply again.",
         ),
-        ErrorKind.PLATFORM_UNAVAILABLE: Answer(503, Outcome.UNKNOWN, _CHECK),
-        ErrorKind.CONFIRMATION_TIMEOUT: Answer(
+        ErrorKind.PLATFORM_UNAVAILABLE: ErrorAnswer(503, Outcome.UNKNOWN, _CHECK),
+        ErrorKind.CONFIRMATION_TIMEOUT: ErrorAnswer(
             504,
             Outcome.ANSWERED,
             "The change is accepted but not confirmed in force everywhere.",
         ),
-        ErrorKind.CONTROL_UNREACHABLE: Answer(
+        ErrorKind.CONTROL_UNREACHABLE: ErrorAnswer(
             503,
             Outcome.NOT_RUN,
             "No control process answered. Give other addresses with --admin.",
         ),
-        ErrorKind.BAD_SETTING: Answer(500, Outcome.NOT_RUN, _CORRECT),
-        ErrorKind.INTERNAL: Answer(500, Outcome.UNKNOWN, _CHECK),
+        ErrorKind.BAD_SETTING: ErrorAnswer(500, Outcome.NOT_RUN, _CORRECT),
+        ErrorKind.INTERNAL: ErrorAnswer(500, Outcome.UNKNOWN, _CHECK),
     }
 )
 
@@ -153,7 +155,7 @@
         self.retry_after_ms = retry_after_ms
 
     @property
-    def answer(self) -> Answer:
+    def answer(self) -> ErrorAnswer:
         """Return the HTTP answer for this error's kind."""
         return ANSWERS[self.kind]
 
--- a/ebonybend/http_client.py
+++ b/ebonybend/http_client.py
@@ -118,9 +118,9 @@
 class _BodyReader(Protocol):
     """Collect an answer's body and check that it is complete."""
 
-    def __init__(self, expected: int | None, limit: int):
-        self.expected = expected
-        self.limit = limit
+    def __init__(self, expected_size: int | None, max_size: int):
+        self.expected_size = expected_size
+        self.max_size = max_size
         self.chunks: list[bytes] = []
         self.size = 0
         self.done: Deferred[bytes] = Deferred(lambda _: self.abort())
@@ -132,9 +132,9 @@
     def dataReceived(self, data: bytes) -> None:
         self.size += len(data)
         self.chunks.append(data)
-        if self.size > self.limit and not self.done.called:
+        if self.size > self.max_size and not self.done.called:
             self.abort()
-            self.done.errback(AnswerTooLarge(f"answer over {self.limit} bytes"))
+            self.done.errback(AnswerTooLarge(f"answer over {self.max_size} bytes"))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         if self.done.called:
@@ -143,9 +143,9 @@
             # Also covers a body that ends with the connection: without a length or
             # chunks a truncated body looks like a complete one.
             self.done.errback(AnswerLost(f"answer cut off after {self.size} bytes"))
-        elif self.expected is not None and self.size != self.expected:
+        elif self.expected_size is not None and self.size != self.expected_size:
             self.done.errback(
-                AnswerLost(f"answer has {self.size} of {self.expected} bytes")
+                AnswerLost(f"answer has {self.size} of {self.expected_size} bytes")
             )
         else:
             self.done.callback(b"".join(self.chunks))
@@ -224,11 +224,15 @@
 
         may_send is called once the connection is ready; False raises SendTooLate.
         """
-        raw = Headers({name: [value] for name, value in (headers or {}).items()})
-        raw.setRawHeaders("Host", [address])
+        request_headers = Headers(
+            {name: [value] for name, value in (headers or {}).items()}
+        )
+        request_headers.setRawHeaders("Host", [address])
         producer = _BytesProducer(body) if body or method == "POST" else None
         persistent = reuse is not Reuse.NEVER
-        request = Request(method.encode(), path.encode(), raw, producer, persistent)
+        request = Request(
+            method.encode(), path.encode(), request_headers, producer, persistent
+        )
         deadline = self.reactor.seconds() + timeout
         connection = await self._connect(address, reuse, timeout)
         if may_send is not None and not may_send():
@@ -263,9 +267,13 @@
         endpoint = self.endpoints.get(address)
         if endpoint is None:
             host, _, port = address.rpartition(":")
-            kind = TCP6ClientEndpoint if ":" in host else TCP4ClientEndpoint
-            endpoint = kind(
-                self.reactor, host.strip("[]"), int(port), CONNECT_TIMEOUT_S, self.bind
+            endpoint_class = TCP6ClientEndpoint if ":" in host else TCP4ClientEndpoint
+            endpoint = endpoint_class(
+                self.reactor,
+                host.strip("[]"),
+                int(port),
+                CONNECT_TIMEOUT_S,
+                self.bind,
             )
             self.endpoints[address] = endpoint
         return endpoint
@@ -297,8 +305,8 @@
     ) -> HttpAnswer:
         """Return the answer with its body; raise AnswerTimeout after the deadline."""
         length = response.length
-        expected = None if length is UNKNOWN_LENGTH or method == "HEAD" else length
-        reader = _BodyReader(expected, max_body)
+        expected_size = None if length is UNKNOWN_LENGTH or method == "HEAD" else length
+        reader = _BodyReader(expected_size, max_body)
         response.deliverBody(reader)
         remaining_s = max(deadline - self.reactor.seconds(), 0.0)
         timeout = Timeout(self.reactor, remaining_s, reader.done.cancel)
--- a/ebonybend/http_server.py
+++ b/ebonybend/http_server.py
@@ -94,8 +94,8 @@
     value: Any, status: int = 200, headers: Mapping[str, str] | None = None
 ) -> OutgoingAnswer:
     """Return an answer with a value encoded as its JSON body."""
-    merged = {"Content-Type": "application/json", **(headers or {})}
-    return OutgoingAnswer(status, to_json(value), merged)
+    all_headers = {"Content-Type": "application/json", **(headers or {})}
+    return OutgoingAnswer(status, to_json(value), all_headers)
 
 
 def error_answer(error: SteeringError, request_id: str | None = None) -> OutgoingAnswer:
--- a/ebonybend/logs.py
+++ b/ebonybend/logs.py
@@ -48,6 +48,7 @@
         """Do nothing; each write goes to the descriptor at once."""
 
     def _write_available(self, data: bytes, is_new_line: bool = False) -> bool:
+        """Write what fits into the buffer; return whether all of it was written."""
         try:
             written = os.write(self.descriptor, data)
         except BlockingIOError:
--- a/ebonybend/tests/test_http_client.py
+++ b/ebonybend/tests/test_http_client.py
@@ -14,7 +14,7 @@
     NotSent,
 )
 
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
+COMPLETE_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 
 
 class ScriptedServer(Protocol):
@@ -27,7 +27,7 @@
             self.transport.loseConnection()
 
 
-class ClientCase(TestCase):
+class ClientTestCase(TestCase):
     run_tests_with = AsynchronousDeferredRunTest.make_factory(timeout=10)
 
     def setUp(self):
@@ -37,7 +37,7 @@
         for _ in range(2):
             self.addCleanup(deferLater, reactor, 0.05, lambda: None)
 
-    def listen(self, answer, closes):
+    def start_server(self, answer, closes):
         factory = Factory.forProtocol(ScriptedServer)
         factory.answer = answer
         factory.closes = closes
@@ -56,18 +56,18 @@
         return client
 
 
-class FailureTest(TestWithScenarios, ClientCase):
+class FailureTest(TestWithScenarios, ClientTestCase):
     """Guards against accepting truncated answers, and NotSent for a sent request."""
 
     scenarios = [
         ("closed", {"answer": b"", "closes": True, "error": AnswerLost}),
         (
             "closed in headers",
-            {"answer": WHOLE[:20], "closes": True, "error": AnswerLost},
+            {"answer": COMPLETE_ANSWER[:20], "closes": True, "error": AnswerLost},
         ),
         (
             "closed in body",
-            {"answer": WHOLE[:-1], "closes": True, "error": AnswerLost},
+            {"answer": COMPLETE_ANSWER[:-1], "closes": True, "error": AnswerLost},
         ),
         (
             "no length",
@@ -89,20 +89,20 @@
         ("silent", {"answer": b"", "closes": False, "error": AnswerTimeout}),
         (
             "stalled body",
-            {"answer": WHOLE[:-1], "closes": False, "error": AnswerTimeout},
+            {"answer": COMPLETE_ANSWER[:-1], "closes": False, "error": AnswerTimeout},
         ),
         (
             "large",
             {
-                "answer": WHOLE.replace(b": 5", b": 500") + b"x" * 495,
+                "answer": COMPLETE_ANSWER.replace(b": 5", b": 500") + b"x" * 495,
                 "closes": False,
                 "error": AnswerTooLarge,
             },
         ),
     ]
 
-    def test_failure_kind(self):
-        address = self.listen(self.answer, self.closes)
+    def test_raises_matching_error(self):
+        address = self.start_server(self.answer, self.closes)
         return Deferred.fromCoroutine(self.send_and_expect_error(address))
 
     async def send_and_expect_error(self, address):
@@ -117,11 +117,11 @@
             self.fail("the request raised no error")
 
 
-class SuccessTest(ClientCase):
+class SuccessTest(ClientTestCase):
     """Guards against a wrong answer on a reused connection."""
 
-    def test_whole_answers_on_one_connection(self):
-        address = self.listen(WHOLE, False)
+    def test_two_answers_on_one_connection(self):
+        address = self.start_server(COMPLETE_ANSWER, False)
         return Deferred.fromCoroutine(self.send_twice(address))
 
     async def send_twice(self, address):
--- a/ebonybend/tests/test_loop.py
+++ b/ebonybend/tests/test_loop.py
@@ -6,7 +6,7 @@
 
 from ebonybend.loop import LoopReactor
 
-LARGE = b"x" * (4 << 20)
+LARGE_PAYLOAD = b"x" * (4 << 20)
 
 
 class Receiver(Protocol):
@@ -15,13 +15,13 @@
 
     def dataReceived(self, data):
         self.factory.received += len(data)
-        if self.factory.received == len(LARGE):
+        if self.factory.received == len(LARGE_PAYLOAD):
             self.factory.on_complete()
 
 
 class LargeSender(Protocol):
     def dataReceived(self, data):
-        self.transport.write(LARGE)
+        self.transport.write(LARGE_PAYLOAD)
 
 
 class LoopReactorTest(TestCase):
@@ -62,4 +62,4 @@
         factory.on_complete = self.reactor.stop
         self.reactor.connectTCP("127.0.0.1", port.getHost().port, factory)
         self.run_reactor()
-        self.assertEqual(len(LARGE), factory.received)
+        self.assertEqual(len(LARGE_PAYLOAD), factory.received)
