--- a/ebonybend/errors.py
+++ b/ebonybend/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the answer that each one gives."""
+"""All error kinds and the HTTP answer for each of them."""
 
 from enum import Enum
 from types import MappingProxyType
@@ -8,7 +8,7 @@
 
 
 class Outcome(Enum):
-    """What a caller may conclude about whether its request ran."""
+    """What a client may conclude about whether its request ran."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
@@ -17,7 +17,7 @@
 
 
 class ErrorKind(Enum):
-    """Every kind of error that a caller or an operator can receive."""
+    """Every kind of error that a client or an operator can receive."""
 
     BAD_REQUEST = "bad_request"
     UNKNOWN_SERVICE = "unknown_service"
@@ -55,8 +55,8 @@
 
 
 @frozen
-class Answer:
-    """How an error kind is answered over HTTP."""
+class ErrorAnswer:
+    """The HTTP status, outcome and advice for an error kind."""
 
     status: int
     outcome: Outcome
@@ -71,8 +71,8 @@
     "The request did not run and won't. It is safe to send it again "
     "after the retry time, a write under a new key."
 )
-# The key was not read, so nothing is said of other copies of the request.
-_RESEND_COPY = (
+# The idempotency key was not read, so other copies of the request may have run.
+_RESEND_SAME_KEY = (
     "This copy of the request did not run. It is safe to send it again, "
     "a write under the same key."
 )
@@ -82,67 +82,69 @@
     "or check its effect by other means."
 )
 
-ANSWERS: MappingProxyType[ErrorKind, Answer] = MappingProxyType(
+ANSWERS: MappingProxyType[ErrorKind, ErrorAnswer] = MappingProxyType(
     {
-        ErrorKind.BAD_REQUEST: Answer(400, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.UNKNOWN_SERVICE: Answer(404, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.UNKNOWN_PATH: Answer(404, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.METHOD_NOT_ALLOWED: Answer(405, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.BODY_TOO_LARGE: Answer(413, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.HEADERS_TOO_LARGE: Answer(431, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.BAD_DEADLINE: Answer(400, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.KEY_REQUIRED: Answer(428, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.BAD_KEY: Answer(400, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.SLOW_CALLER: Answer(408, Outcome.NOT_RUN, _RESEND_COPY),
-        ErrorKind.TOO_MANY_CONNECTIONS: Answer(503, Outcome.NOT_RUN, _RESEND_COPY),
-        ErrorKind.NOT_READY: Answer(503, Outcome.NOT_RUN, _RESEND_LATER),
-        ErrorKind.DRAINING: Answer(503, Outcome.NOT_RUN, _RESEND),
-        ErrorKind.OVERLOADED: Answer(503, Outcome.NOT_RUN, _RESEND_LATER),
-        ErrorKind.LINK_FULL: Answer(503, Outcome.NOT_RUN, _RESEND_LATER),
-        ErrorKind.CAP_REACHED: Answer(503, Outcome.NOT_RUN, _RESEND_LATER),
-        ErrorKind.REFUSED_BY_RULE: Answer(403, Outcome.NOT_RUN, _CORRECT),
-        ErrorKind.SUSPECT_REFUSED: Answer(
+        ErrorKind.BAD_REQUEST: ErrorAnswer(400, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.UNKNOWN_SERVICE: ErrorAnswer(404, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.UNKNOWN_PATH: ErrorAnswer(404, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.METHOD_NOT_ALLOWED: ErrorAnswer(405, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.BODY_TOO_LARGE: ErrorAnswer(413, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.HEADERS_TOO_LARGE: ErrorAnswer(431, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.BAD_DEADLINE: ErrorAnswer(400, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.KEY_REQUIRED: ErrorAnswer(428, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.BAD_KEY: ErrorAnswer(400, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.SLOW_CALLER: ErrorAnswer(408, Outcome.NOT_RUN, _RESEND_SAME_KEY),
+        ErrorKind.TOO_MANY_CONNECTIONS: ErrorAnswer(
+            503, Outcome.NOT_RUN, _RESEND_SAME_KEY
+        ),
+        ErrorKind.NOT_READY: ErrorAnswer(503, Outcome.NOT_RUN, _RESEND_LATER),
+        ErrorKind.DRAINING: ErrorAnswer(503, Outcome.NOT_RUN, _RESEND),
+        ErrorKind.OVERLOADED: ErrorAnswer(503, Outcome.NOT_RUN, _RESEND_LATER),
+        ErrorKind.LINK_FULL: ErrorAnswer(503, Outcome.NOT_RUN, _RESEND_LATER),
+        ErrorKind.CAP_REACHED: ErrorAnswer(503, Outcome.NOT_RUN, _RESEND_LATER),
+        ErrorKind.REFUSED_BY_RULE: ErrorAnswer(403, Outcome.NOT_RUN, _CORRECT),
+        ErrorKind.SUSPECT_REFUSED: ErrorAnswer(
             422,
             Outcome.NOT_RUN,
             "This request crashed backend servers and is refused. Ask an operator.",
         ),
-        ErrorKind.DEADLINE_NOT_RUN: Answer(504, Outcome.NOT_RUN, _RESEND),
-        ErrorKind.BACKEND_UNREACHABLE: Answer(502, Outcome.NOT_RUN, _RESEND_LATER),
-        ErrorKind.DEADLINE_EXCEEDED: Answer(504, Outcome.UNKNOWN, _CHECK),
-        ErrorKind.ANSWER_LOST: Answer(502, Outcome.UNKNOWN, _CHECK),
-        ErrorKind.ANSWER_NOT_KEPT: Answer(
+        ErrorKind.DEADLINE_NOT_RUN: ErrorAnswer(504, Outcome.NOT_RUN, _RESEND),
+        ErrorKind.BACKEND_UNREACHABLE: ErrorAnswer(502, Outcome.NOT_RUN, _RESEND_LATER),
+        ErrorKind.DEADLINE_EXCEEDED: ErrorAnswer(504, Outcome.UNKNOWN, _CHECK),
+        ErrorKind.ANSWER_LOST: ErrorAnswer(502, Outcome.UNKNOWN, _CHECK),
+        ErrorKind.ANSWER_NOT_KEPT: ErrorAnswer(
             410,
             Outcome.ANSWERED,
             "The request ran once. Its answer was too large to be kept.",
         ),
-        ErrorKind.OUTCOME_UNKNOWN: Answer(502, Outcome.UNKNOWN, _CHECK),
-        ErrorKind.KEY_EXPIRED: Answer(410, Outcome.UNKNOWN, _CHECK),
-        ErrorKind.KEY_NOT_RUN: Answer(409, Outcome.NOT_RUN, _RESEND),
-        ErrorKind.INVALID_RULES: Answer(422, Outcome.BAD_REQUEST, _CORRECT),
-        ErrorKind.CONFLICT: Answer(
+        ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(502, Outcome.UNKNOWN, _CHECK),
+        ErrorKind.KEY_EXPIRED: ErrorAnswer(410, Outcome.UNKNOWN, _CHECK),
+        ErrorKind.KEY_NOT_RUN: ErrorAnswer(409, Outcome.NOT_RUN, _RESEND),
+        ErrorKind.INVALID_RULES: ErrorAnswer(422, Outcome.BAD_REQUEST, _CORRECT),
+        ErrorKind.CONFLICT: ErrorAnswer(
             412,
             Outcome.NOT_RUN,
             "Another change was accepted first. Compare, then apply again.",
         ),
-        ErrorKind.PLATFORM_UNAVAILABLE: Answer(503, Outcome.UNKNOWN, _CHECK),
-        ErrorKind.CONFIRMATION_TIMEOUT: Answer(
+        ErrorKind.PLATFORM_UNAVAILABLE: ErrorAnswer(503, Outcome.UNKNOWN, _CHECK),
+        ErrorKind.CONFIRMATION_TIMEOUT: ErrorAnswer(
             504,
             Outcome.ANSWERED,
             "The change is accepted but not confirmed in force everywhere.",
         ),
-        ErrorKind.CONTROL_UNREACHABLE: Answer(
+        ErrorKind.CONTROL_UNREACHABLE: ErrorAnswer(
             503,
             Outcome.NOT_RUN,
             "No control process answered. Give other addresses with --admin.",
         ),
-        ErrorKind.BAD_SETTING: Answer(500, Outcome.NOT_RUN, _CORRECT),
-        ErrorKind.INTERNAL: Answer(500, Outcome.UNKNOWN, _CHECK),
+        ErrorKind.BAD_SETTING: ErrorAnswer(500, Outcome.NOT_RUN, _CORRECT),
+        ErrorKind.INTERNAL: ErrorAnswer(500, Outcome.UNKNOWN, _CHECK),
     }
 )
 
 
 class SteeringError(Exception):
-    """An error of a kind from the closed list."""
+    """An error that is answered according to its ErrorKind."""
 
     def __init__(
         self, kind: ErrorKind, message: str, retry_after_ms: int | None = None
@@ -153,13 +155,13 @@
         self.retry_after_ms = retry_after_ms
 
     @property
-    def answer(self) -> Answer:
-        """Return the answer that this error's kind gives."""
+    def answer(self) -> ErrorAnswer:
+        """Return the HTTP answer for this error's kind."""
         return ANSWERS[self.kind]
 
 
 def bad_setting(flag: str, value: Any, allowed: str) -> SteeringError:
-    """Return the error for a setting, in one line."""
+    """Return the error for a flag's value that is not valid, as one line."""
     return SteeringError(
         ErrorKind.BAD_SETTING, f"--{flag}={value!r} is not valid: {allowed}"
     )
