--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for outside systems, used by tests and the bench."""
+"""Stubs of external systems, for tests and benchmarks."""
--- a/standins/backend_server.py
+++ b/standins/backend_server.py
@@ -1,4 +1,4 @@
-"""Serve requests in slots as a backend server does, with faults on request."""
+"""Stub backend server: run requests in slots and inject faults on demand."""
 
 import os
 import sys
@@ -19,7 +19,14 @@
     OutgoingAnswer,
     json_answer,
 )
-from standins.command import TrackingSite, cut, listen, parse_flags, run, sleep
+from standins.command import (
+    TrackingSite,
+    listen,
+    parse_flags,
+    reset_connection,
+    run,
+    sleep,
+)
 from standins.echo import build_answer, fingerprint
 from standins.server_history import EventKind, HistoryFile, ServerEvent
 
@@ -27,39 +34,39 @@
 CRASH_EXIT_STATUS = 70
 DEFAULT_FILLER_BYTES = 200
 DEFAULT_DEADLINE_MS = 60_000
-HEALTH_SAMPLES = 4096
+MAX_IN_FLIGHT_SAMPLES = 4096
 
 
 @frozen
 class ServerFaults:
-    """The faults in effect; a POST to /faults replaces them all."""
+    """The faults to inject; a POST to /faults replaces them all."""
 
     draining: bool = False
-    # Refuse all new work as not run.
+    # Refuse all new requests as not run.
     shed: bool = False
-    # /health reports the in-flight count of this long ago.
+    # Age of the in-flight count that /health reports.
     health_lag_s: float = 0.0
-    # /health reports this in-flight count.
+    # In-flight count that /health reports instead of the real one.
     health_in_flight: int | None = None
     # /health does not answer.
     health_silent: bool = False
-    # Factor on the service time.
+    # Multiplier of the service time.
     slow_factor: float = 1.0
-    # Run this many further requests and cut the connection instead of answering.
+    # Number of further requests that run but get a connection reset, not an answer.
     lose_answers: int = 0
 
 
 @frozen
 class ServerOptions:
-    """How a backend server behaves without faults."""
+    """The behaviour of a backend server without faults."""
 
     name: str
     slots: int
     connections: int = 300
     service_ms: float = 20.0
-    # Largest random change of the service time, as a fraction of it.
+    # Largest random deviation of the service time, as a fraction of it.
     spread: float = 0.3
-    # Time after the start in which requests take longer, by a factor.
+    # Time after the start in which the service time is multiplied by cold_factor.
     cold_s: float = 2.0
     cold_factor: float = 3.0
 
@@ -74,7 +81,7 @@
 
 
 @frozen
-class Work:
+class Job:
     """One request to run."""
 
     request_id: str
@@ -88,13 +95,13 @@
     filler_bytes: int
 
     @property
-    def crashes(self) -> bool:
-        """Return whether running the request ends the process."""
+    def crashes_server(self) -> bool:
+        """Return whether the request crashes the server process."""
         return CRASH_MARKER in self.path or CRASH_MARKER.encode() in self.body
 
 
-class RunningServer:
-    """A backend server: slots, health, draining and faults."""
+class BackendServerStub:
+    """A backend server with slots, health reports, draining and faults."""
 
     def __init__(self, reactor: Any, options: ServerOptions, history: HistoryFile):
         self.reactor = reactor
@@ -104,31 +111,33 @@
         self.faults = ServerFaults()
         self.lose_answers = 0
         self.in_flight = 0
-        # The site that serves the requests, once it listens.
+        # The site that serves the requests; None until it listens.
         self.site: TrackingSite | None = None
         self.started_at = monotonic()
-        self.samples: deque[tuple[float, int]] = deque(maxlen=HEALTH_SAMPLES)
+        self.in_flight_samples: deque[tuple[float, int]] = deque(
+            maxlen=MAX_IN_FLIGHT_SAMPLES
+        )
 
     async def handle(self, request: IncomingRequest) -> OutgoingAnswer:
         """Answer /health, or run a request."""
         if request.path == "/health":
             return await self._health()
-        work = self._work(request)
-        self._record("received", work)
-        if self._refuses():
-            self._record("refused", work)
+        job = self._parse_job(request)
+        self._record_event("received", job)
+        if self._must_refuse():
+            self._record_event("refused", job)
             return self._answer(503, b"no free slot\n", {"Not-Run": "true"})
-        return await self._run(work, request.raw)
+        return await self._run(job, request.raw)
 
-    def _refuses(self) -> bool:
-        busy = self.in_flight >= self.options.slots
-        return busy or self.faults.draining or self.faults.shed
+    def _must_refuse(self) -> bool:
+        full = self.in_flight >= self.options.slots
+        return full or self.faults.draining or self.faults.shed
 
-    def _work(self, request: IncomingRequest) -> Work:
+    def _parse_job(self, request: IncomingRequest) -> Job:
         path = request.raw.uri.decode("ascii", "replace")
         deadline_ms = float(request.header("Deadline-Ms") or DEFAULT_DEADLINE_MS)
         service_ms = request.argument("service_ms")
-        return Work(
+        return Job(
             request.header("Request-Id") or "",
             request.header("Idempotency-Key") or "",
             fingerprint(request.method, path, request.body),
@@ -136,53 +145,53 @@
             path,
             request.body,
             deadline_ms / 1000,
-            float(service_ms) / 1000 if service_ms else self._service_time(),
+            float(service_ms) / 1000 if service_ms else self._random_service_s(),
             int(request.argument("size") or DEFAULT_FILLER_BYTES),
         )
 
-    def _service_time(self) -> float:
-        spread = self.random.uniform(-self.options.spread, self.options.spread)
-        factor = self.options.cold_factor if self._cold() else 1.0
+    def _random_service_s(self) -> float:
+        deviation = self.random.uniform(-self.options.spread, self.options.spread)
+        factor = self.options.cold_factor if self._is_cold() else 1.0
         factor *= self.faults.slow_factor
-        return self.options.service_ms / 1000 * (1 + spread) * factor
+        return self.options.service_ms / 1000 * (1 + deviation) * factor
 
-    def _cold(self) -> bool:
+    def _is_cold(self) -> bool:
         return monotonic() - self.started_at < self.options.cold_s
 
-    async def _run(self, work: Work, raw: Any) -> OutgoingAnswer:
+    async def _run(self, job: Job, raw: Any) -> OutgoingAnswer:
         self._change_in_flight(1)
-        self._record("started", work)
+        self._record_event("started", job)
         try:
-            return await self._work_until_deadline(work, raw)
+            return await self._run_until_deadline(job, raw)
         except CancelledError:
-            self._record("cancelled", work, -1)
+            self._record_event("cancelled", job, -1)
             return self._answer(503, b"cancelled\n", {})
         finally:
             self._change_in_flight(-1)
 
-    async def _work_until_deadline(self, work: Work, raw: Any) -> OutgoingAnswer:
-        if work.crashes:
-            await sleep(self.reactor, work.service_s / 2)
+    async def _run_until_deadline(self, job: Job, raw: Any) -> OutgoingAnswer:
+        if job.crashes_server:
+            await sleep(self.reactor, job.service_s / 2)
             os._exit(CRASH_EXIT_STATUS)
-        in_time = work.service_s <= work.deadline_s
-        running = sleep(self.reactor, min(work.service_s, work.deadline_s))
-        raw.notifyFinish().addErrback(lambda _: running.cancel())
-        await running
-        if not in_time:
-            self._record("cancelled", work, -1)
+        meets_deadline = job.service_s <= job.deadline_s
+        timer = sleep(self.reactor, min(job.service_s, job.deadline_s))
+        raw.notifyFinish().addErrback(lambda _: timer.cancel())
+        await timer
+        if not meets_deadline:
+            self._record_event("cancelled", job, -1)
             return self._answer(504, b"deadline exceeded\n", {})
-        self._record("finished", work, -1)
+        self._record_event("finished", job, -1)
         if self.lose_answers > 0:
             self.lose_answers -= 1
-            cut(raw.channel)
+            reset_connection(raw.channel)
         body = build_answer(
             self.options.name,
-            work.request_id,
-            work.path,
-            work.body,
-            work.filler_bytes,
+            job.request_id,
+            job.path,
+            job.body,
+            job.filler_bytes,
         )
-        return self._answer(200, body, {"Request-Id": work.request_id})
+        return self._answer(200, body, {"Request-Id": job.request_id})
 
     def _answer(
         self, status: int, body: bytes, headers: dict[str, str]
@@ -191,24 +200,24 @@
             headers = {**headers, "Draining": "true"}
         return OutgoingAnswer(status, body, headers)
 
-    def _change_in_flight(self, change: int) -> None:
-        self.in_flight += change
-        self.samples.append((monotonic(), self.in_flight))
+    def _change_in_flight(self, delta: int) -> None:
+        self.in_flight += delta
+        self.in_flight_samples.append((monotonic(), self.in_flight))
 
-    def _record(self, event: EventKind, work: Work, change: int = 0) -> None:
-        """Write an event; change is what the event will do to the in-flight count."""
+    def _record_event(self, event: EventKind, job: Job, delta: int = 0) -> None:
+        """Write an event with the in-flight count that results from adding delta."""
         self.history.write(
             ServerEvent(
                 monotonic(),
                 self.options.name,
                 os.getpid(),
                 event,
-                work.request_id,
-                work.key,
-                work.fingerprint,
-                work.method,
-                work.path,
-                self.in_flight + change,
+                job.request_id,
+                job.key,
+                job.fingerprint,
+                job.method,
+                job.path,
+                self.in_flight + delta,
                 self.options.slots,
                 self.faults.draining,
                 self.site.connections if self.site else 0,
@@ -218,28 +227,30 @@
     async def _health(self) -> OutgoingAnswer:
         if self.faults.health_silent:
             await Deferred()
-        state = "cold" if self._cold() else "ready"
+        state = "cold" if self._is_cold() else "ready"
         if self.faults.draining:
             state = "draining"
-        return json_answer(Health(state, self._reported(), self.options.slots))
+        return json_answer(
+            Health(state, self._reported_in_flight(), self.options.slots)
+        )
 
-    def _reported(self) -> int:
+    def _reported_in_flight(self) -> int:
         if self.faults.health_in_flight is not None:
             return self.faults.health_in_flight
         if self.faults.health_lag_s <= 0:
             return self.in_flight
-        limit = monotonic() - self.faults.health_lag_s
-        older = [count for at, count in self.samples if at <= limit]
-        return older[-1] if older else 0
+        cutoff = monotonic() - self.faults.health_lag_s
+        counts = [count for at, count in self.in_flight_samples if at <= cutoff]
+        return counts[-1] if counts else 0
 
     def set_faults(self, faults: ServerFaults) -> None:
-        """Replace the faults in effect."""
+        """Replace all faults."""
         self.faults = faults
         self.lose_answers = faults.lose_answers
 
 
-def admin_router(server: RunningServer) -> Router:
-    """Return the handler of the admin port."""
+def admin_router(server: BackendServerStub) -> Router:
+    """Return the router of the admin port."""
 
     async def post_faults(request: IncomingRequest) -> OutgoingAnswer:
         server.set_faults(from_json(request.body, ServerFaults))
@@ -251,29 +262,29 @@
 
 
 def define_flags(values: flags.FlagValues) -> None:
-    """Define the flags of the stand-in."""
+    """Define the command-line flags."""
     default = ServerOptions("server", 4)
-    to = {"flag_values": values}
-    flags.DEFINE_string("name", default.name, "Name of the backend server.", **to)
-    flags.DEFINE_string("listen", "127.0.0.1:9000", "Address for requests.", **to)
-    flags.DEFINE_string("faults", "127.0.0.1:9001", "Admin port.", **to)
-    flags.DEFINE_string("history", "/dev/null", "File for the history.", **to)
-    flags.DEFINE_integer("slots", default.slots, "Requests at a time.", **to)
-    flags.DEFINE_integer("connections", default.connections, "Connections.", **to)
-    flags.DEFINE_float("service_ms", default.service_ms, "Mean service time.", **to)
-    flags.DEFINE_float("spread", default.spread, "Random part of it, 0 to 1.", **to)
-    flags.DEFINE_float("cold_s", default.cold_s, "Length of the cold start.", **to)
-    flags.DEFINE_float("cold_factor", default.cold_factor, "Cold slow-down.", **to)
+    target = {"flag_values": values}
+    flags.DEFINE_string("name", default.name, "Name of the backend server.", **target)
+    flags.DEFINE_string("listen", "127.0.0.1:9000", "Address for requests.", **target)
+    flags.DEFINE_string("faults", "127.0.0.1:9001", "Admin port.", **target)
+    flags.DEFINE_string("history", "/dev/null", "File for the history.", **target)
+    flags.DEFINE_integer("slots", default.slots, "Requests at a time.", **target)
+    flags.DEFINE_integer("connections", default.connections, "Connections.", **target)
+    flags.DEFINE_float("service_ms", default.service_ms, "Mean service time.", **target)
+    flags.DEFINE_float("spread", default.spread, "Random part of it, 0 to 1.", **target)
+    flags.DEFINE_float("cold_s", default.cold_s, "Length of the cold start.", **target)
+    flags.DEFINE_float("cold_factor", default.cold_factor, "Cold slow-down.", **target)
 
 
 def read_options(values: flags.FlagValues) -> ServerOptions:
-    """Return the options that the flags give."""
+    """Return the server options from the parsed flags."""
     names = [attribute.name for attribute in ServerOptions.__attrs_attrs__]
     return ServerOptions(**{name: values[name].value for name in names})
 
 
 def main(arguments: list[str]) -> None:
-    """Run one backend server until the process is stopped."""
+    """Run one stub backend server until the process is stopped."""
     from twisted.internet import reactor
 
     values = parse_flags(define_flags, arguments)
@@ -281,7 +292,7 @@
     history = HistoryFile(values["history"].value)
 
     async def start() -> None:
-        server = RunningServer(reactor, options, history)
+        server = BackendServerStub(reactor, options, history)
         limits = HttpLimits(max_connections=options.connections)
         server.site = TrackingSite(reactor, server.handle, limits)
         listen(reactor, values["listen"].value, server.site)
--- a/standins/echo.py
+++ b/standins/echo.py
@@ -1,4 +1,4 @@
-"""Answer bodies that show whose answer they are and that they are whole."""
+"""Answer bodies that identify their request and server and can be verified."""
 
 from attrs import frozen
 from msgspec import DecodeError, ValidationError, json
@@ -9,13 +9,13 @@
 
 @frozen
 class Echo:
-    """The first line of an answer's body; the filler follows it."""
+    """The first line of an answer's body, followed by filler bytes."""
 
     server: str
     request_id: str
     # Path and query as the backend server received them.
     path: str
-    # Checksum of the request's body.
+    # Checksum of the request body.
     request_checksum: str
     filler_bytes: int
     filler_checksum: str
@@ -27,34 +27,42 @@
 
 
 def fingerprint(method: str, path: str, body: bytes) -> str:
-    """Return a value that is equal for requests that would run equally."""
+    """Return a hash that is equal for requests of equal method, path and body."""
     return xxh3_128_hexdigest(b"\n".join((method.encode(), path.encode(), body)))
 
 
 def filler(request_id: str, size: int) -> bytes:
-    """Return filler that differs between requests."""
+    """Return filler bytes that differ between requests."""
     unit = f"{request_id} ".encode()
     return (unit * (size // len(unit) + 1))[:size]
 
 
 def build_answer(
-    server: str, request_id: str, path: str, body: bytes, size: int
+    server: str, request_id: str, path: str, body: bytes, filler_bytes: int
 ) -> bytes:
     """Return the body of the answer to a request."""
-    rest = filler(request_id, min(size, MAX_FILLER_BYTES))
+    payload = filler(request_id, min(filler_bytes, MAX_FILLER_BYTES))
     echo = Echo(
-        server, request_id, path, body_checksum(body), len(rest), body_checksum(rest)
+        server,
+        request_id,
+        path,
+        body_checksum(body),
+        len(payload),
+        body_checksum(payload),
     )
-    return json.encode(echo) + b"\n" + rest
+    return json.encode(echo) + b"\n" + payload
 
 
 def read_answer(answer: bytes) -> Echo | None:
-    """Return the echo of a whole answer, or None if it is damaged."""
-    first, _, rest = answer.partition(b"\n")
+    """Return the echo of a complete answer, or None if it is damaged."""
+    header, _, payload = answer.partition(b"\n")
     try:
-        echo = json.decode(first, type=Echo)
+        echo = json.decode(header, type=Echo)
     except (DecodeError, ValidationError):
         return None
-    if (echo.filler_bytes, echo.filler_checksum) != (len(rest), body_checksum(rest)):
+    if (echo.filler_bytes, echo.filler_checksum) != (
+        len(payload),
+        body_checksum(payload),
+    ):
         return None
     return echo
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -1,4 +1,4 @@
-"""Forward TCP connections with delays, rate limits and faults between addresses."""
+"""Forward TCP connections, with delays, rate limits and faults by address."""
 
 import sys
 from pathlib import Path
@@ -18,16 +18,22 @@
     json_answer,
 )
 from standins.command import LISTEN_BACKLOG, TrackingSite, listen, parse_flags, run
-from standins.proxy_flow import Flow, LinkClock
-from standins.proxy_rules import Effect, Listener, ProxyConfig, effect_for, port_closed
-from standins.proxy_target import TargetWatch
+from standins.proxy_flow import Flow, LinkSchedule
+from standins.proxy_rules import (
+    ConnectionEffect,
+    Listener,
+    ProxyConfig,
+    effect_for,
+    is_port_closed,
+)
+from standins.proxy_target import TargetMonitor
 
 CONNECT_TIMEOUT_S = 5.0
 
 
 @frozen
-class LinkUse:
-    """What a link carried since the start."""
+class LinkUsage:
+    """The bytes that a link has carried since the proxy started."""
 
     name: str
     carried_bytes: int
@@ -35,36 +41,38 @@
 
 @frozen
 class ProxyCounts:
-    """The proxy's state."""
+    """The connections, listening addresses and link usage of the proxy."""
 
     connections: int
     listening: tuple[str, ...]
-    links: tuple[LinkUse, ...]
+    links: tuple[LinkUsage, ...]
 
 
-class _CallerSide(Protocol):
-    """The side of a connection that the caller opened."""
+class _ClientSide(Protocol):
+    """The connection that a client opened to the proxy."""
 
-    pair: "Pair"
+    connection: "ProxiedConnection"
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         peer = self.transport.getPeer()
-        self.pair = Pair(self.factory.proxy, self.factory.listener, peer.host, self)
-        self.pair.open()
+        self.connection = ProxiedConnection(
+            self.factory.proxy, self.factory.listener, peer.host, self
+        )
+        self.connection.connect()
 
     def dataReceived(self, data: bytes) -> None:
-        self.pair.forward.receive(data)
+        self.connection.forward.receive(data)
 
     def connectionLost(self, reason: Any = None) -> None:
-        self.pair.caller_closed(reason.check(ConnectionDone) is not None)
+        self.connection.handle_client_close(reason.check(ConnectionDone) is not None)
 
 
-class _CallerFactory(Factory):
-    """Accept connections on one listener."""
+class _ClientSideFactory(Factory):
+    """Accept client connections on one listener."""
 
     noisy = False
-    protocol = _CallerSide
+    protocol = _ClientSide
 
     def __init__(self, proxy: "Proxy", listener: Listener):
         self.proxy = proxy
@@ -72,189 +80,197 @@
 
 
 class _TargetSide(Protocol):
-    """The side of a connection that the proxy opened."""
+    """The connection that the proxy opened to the target."""
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.factory.pair.target_connected(self.transport)
+        self.factory.connection.handle_target_connect(self.transport)
 
     def dataReceived(self, data: bytes) -> None:
-        self.factory.pair.back.receive(data)
+        self.factory.connection.back.receive(data)
 
     def connectionLost(self, reason: Any = None) -> None:
         clean = reason.check(ConnectionDone) is not None
-        self.factory.pair.target_closed(clean)
+        self.factory.connection.handle_target_close(clean)
 
 
-class _TargetFactory(ClientFactory):
-    """Connect one pair to its target."""
+class _TargetSideFactory(ClientFactory):
+    """Connect a proxied connection to its target."""
 
     noisy = False
     protocol = _TargetSide
 
-    def __init__(self, pair: "Pair"):
-        self.pair = pair
+    def __init__(self, connection: "ProxiedConnection"):
+        self.connection = connection
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.pair.cut()
+        self.connection.reset()
 
 
-class Pair:
-    """A caller's connection and the one to the target."""
+class ProxiedConnection:
+    """A client's connection and its counterpart to the target."""
 
-    def __init__(self, proxy: "Proxy", listener: Listener, source: str, caller: Any):
+    def __init__(self, proxy: "Proxy", listener: Listener, source: str, client: Any):
         self.proxy = proxy
         self.listener = listener
         self.source = source
-        self.caller = caller.transport
+        self.client = client.transport
         self.target: Any = None
-        self.forward = Flow(proxy.reactor, proxy.links, self.cut)
-        self.back = Flow(proxy.reactor, proxy.links, self.cut)
-        self.forward.source = self.back.sink = self.caller
+        self.forward = Flow(proxy.reactor, proxy.links, self.reset)
+        self.back = Flow(proxy.reactor, proxy.links, self.reset)
+        self.forward.source = self.back.sink = self.client
         self.half_open = False
         self.closed = False
 
-    def open(self) -> None:
-        """Connect to the target, from the caller's own address."""
-        self.proxy.pairs.add(self)
-        self.apply(self.proxy.effect(self.source, self.listener.listen))
+    def connect(self) -> None:
+        """Connect to the target from the client's own source address."""
+        self.proxy.connections.add(self)
+        self.apply_effect(self.proxy.effect_on(self.source, self.listener.listen))
         if self.closed or self.half_open:
             return
         host, port = split_address(self.listener.target)
         self.proxy.reactor.connectTCP(
             host,
             port,
-            _TargetFactory(self),
+            _TargetSideFactory(self),
             timeout=CONNECT_TIMEOUT_S,
             bindAddress=(self.source, 0),
         )
 
-    def apply(self, effect: Effect) -> None:
-        """Apply the rules to the connection."""
+    def apply_effect(self, effect: ConnectionEffect) -> None:
+        """Apply the combined effect of the rules."""
         self.forward.set_effect(effect.forward)
         self.back.set_effect(effect.back)
-        if effect.cut:
-            self.cut()
+        if effect.reset:
+            self.reset()
         elif effect.half_open and not self.half_open:
             self.half_open = True
             if self.target is not None:
                 self.target.abortConnection()
 
-    def target_connected(self, transport: Any) -> None:
-        """Start to pass bytes."""
+    def handle_target_connect(self, transport: Any) -> None:
+        """Start to forward bytes."""
         self.target = transport
         if self.closed or self.half_open:
             transport.abortConnection()
             return
         self.forward.sink = self.back.source = transport
-        self.forward.wake()
+        self.forward.send_due()
 
-    def caller_closed(self, clean: bool) -> None:
-        """Close the target's side once the bytes before the end have passed."""
+    def handle_client_close(self, clean: bool) -> None:
+        """Close the target's side once the queued bytes are forwarded."""
         self.back.stop()
         self.back.sink = self.forward.source = None
-        self.proxy.pairs.discard(self)
-        self.forward.end(clean)
+        self.proxy.connections.discard(self)
+        self.forward.record_source_close(clean)
 
-    def target_closed(self, clean: bool) -> None:
-        """Close the caller's side once the bytes before the end have passed."""
+    def handle_target_close(self, clean: bool) -> None:
+        """Close the client's side once the queued bytes are forwarded."""
         self.forward.stop()
         self.forward.sink = self.back.source = None
         if not self.half_open:
-            self.back.end(clean)
+            self.back.record_source_close(clean)
 
-    def cut(self) -> None:
+    def reset(self) -> None:
         """Reset both sides."""
         self.closed = True
         self.forward.stop()
         self.back.stop()
-        for transport in (self.caller, self.target):
+        for transport in (self.client, self.target):
             if transport is not None:
                 transport.abortConnection()
 
 
-class Door:
-    """One listener, open while its target accepts connections and no rule cuts it."""
+class ListeningPort:
+    """A port that listens while its target accepts connections and no rule cuts it."""
 
     def __init__(self, proxy: "Proxy", listener: Listener):
         self.proxy = proxy
         self.listener = listener
-        self.target_up = False
-        self.port: Any = None
-        self.watch = TargetWatch(proxy.reactor, listener.target, self.target_changed)
+        self.is_target_up = False
+        self.tcp_port: Any = None
+        self.target_monitor = TargetMonitor(
+            proxy.reactor, listener.target, self.set_target_up
+        )
 
-    def target_changed(self, up: bool) -> None:
-        """Open or close the listener with its target."""
-        self.target_up = up
+    def set_target_up(self, up: bool) -> None:
+        """Record whether the target accepts connections; update the port."""
+        self.is_target_up = up
         self.update()
 
     def update(self) -> None:
-        """Open or close the listener as the target and the rules ask."""
-        open_now = self.target_up and not port_closed(
+        """Open or close the port according to the target and the rules."""
+        should_listen = self.is_target_up and not is_port_closed(
             self.proxy.config, self.listener.listen
         )
-        if open_now and self.port is None:
+        if should_listen and self.tcp_port is None:
             host, port = split_address(self.listener.listen)
-            factory = _CallerFactory(self.proxy, self.listener)
-            self.port = self.proxy.reactor.listenTCP(
+            factory = _ClientSideFactory(self.proxy, self.listener)
+            self.tcp_port = self.proxy.reactor.listenTCP(
                 port, factory, backlog=LISTEN_BACKLOG, interface=host
             )
-        elif not open_now and self.port is not None:
-            self.port.stopListening()
-            self.port = None
+        elif not should_listen and self.tcp_port is not None:
+            self.tcp_port.stopListening()
+            self.tcp_port = None
 
     def stop(self) -> None:
-        """Close the listener for good."""
-        self.watch.stop()
-        if self.port is not None:
-            self.port.stopListening()
-            self.port = None
+        """Close the port and stop monitoring the target."""
+        self.target_monitor.stop()
+        if self.tcp_port is not None:
+            self.tcp_port.stopListening()
+            self.tcp_port = None
 
 
 class Proxy:
-    """All listeners, links and connections."""
+    """A proxy with its listeners, links and connections."""
 
     def __init__(self, reactor: Any):
         self.reactor = reactor
         self.config = ProxyConfig()
-        self.links: dict[str, LinkClock] = {}
-        self.doors: dict[Listener, Door] = {}
-        self.pairs: set[Pair] = set()
-        self.effects: dict[tuple[str, str], Effect] = {}
+        self.links: dict[str, LinkSchedule] = {}
+        self.ports: dict[Listener, ListeningPort] = {}
+        self.connections: set[ProxiedConnection] = set()
+        self.effect_cache: dict[tuple[str, str], ConnectionEffect] = {}
 
-    def effect(self, source: str, target: str) -> Effect:
-        """Return what applies to a connection."""
+    def effect_on(self, source: str, target: str) -> ConnectionEffect:
+        """Return the combined effect of the rules on a connection."""
         key = (source, target)
-        if key not in self.effects:
-            self.effects[key] = effect_for(self.config, source, target)
-        return self.effects[key]
+        if key not in self.effect_cache:
+            self.effect_cache[key] = effect_for(self.config, source, target)
+        return self.effect_cache[key]
 
     def set_config(self, config: ProxyConfig) -> None:
-        """Replace the configuration and apply it to the open connections."""
+        """Replace the configuration; apply it to open connections as well."""
         self.config = config
-        self.effects.clear()
+        self.effect_cache.clear()
         for link in config.links:
-            clock = self.links.setdefault(link.name, LinkClock(link.bytes_per_second))
-            clock.bytes_per_second = link.bytes_per_second
-        for gone in set(self.doors) - set(config.listeners):
-            self.doors.pop(gone).stop()
+            schedule = self.links.setdefault(
+                link.name, LinkSchedule(link.bytes_per_second)
+            )
+            schedule.bytes_per_second = link.bytes_per_second
+        for removed in set(self.ports) - set(config.listeners):
+            self.ports.pop(removed).stop()
         for listener in config.listeners:
-            if listener in self.doors:
-                self.doors[listener].update()
+            if listener in self.ports:
+                self.ports[listener].update()
             else:
-                self.doors[listener] = Door(self, listener)
-        for pair in tuple(self.pairs):
-            pair.apply(self.effect(pair.source, pair.listener.listen))
+                self.ports[listener] = ListeningPort(self, listener)
+        for connection in tuple(self.connections):
+            connection.apply_effect(
+                self.effect_on(connection.source, connection.listener.listen)
+            )
 
     def counts(self) -> ProxyCounts:
         """Return the proxy's state."""
-        listening = (x.listen for x, door in self.doors.items() if door.port)
-        links = (LinkUse(name, x.carried_bytes) for name, x in self.links.items())
-        return ProxyCounts(len(self.pairs), tuple(sorted(listening)), tuple(links))
+        listening = (x.listen for x, port in self.ports.items() if port.tcp_port)
+        links = (LinkUsage(name, x.carried_bytes) for name, x in self.links.items())
+        return ProxyCounts(
+            len(self.connections), tuple(sorted(listening)), tuple(links)
+        )
 
 
 def admin_router(proxy: Proxy) -> Router:
-    """Return the handler of the admin port."""
+    """Return the router of the admin port."""
 
     async def post_config(request: IncomingRequest) -> OutgoingAnswer:
         proxy.set_config(from_json(request.body, ProxyConfig))
@@ -270,7 +286,7 @@
 
 
 def define_flags(values: flags.FlagValues) -> None:
-    """Define the flags of the proxy."""
+    """Define the command-line flags."""
     flags.DEFINE_string("faults", "127.0.0.1:7500", "Admin port.", flag_values=values)
     flags.DEFINE_string("config", None, "First configuration.", flag_values=values)
 
--- a/standins/object_store.py
+++ b/standins/object_store.py
@@ -1,4 +1,4 @@
-"""Versioned objects with conditional updates and lists that may lag."""
+"""Versioned objects with conditional writes and lists that can lag behind them."""
 
 from collections import deque
 from typing import Any
@@ -14,10 +14,10 @@
 
 @frozen
 class StoredObject:
-    """One object; the value is JSON."""
+    """One object with a JSON value."""
 
     name: str
-    # Store version of the last change, 0 when the object doesn't exist.
+    # Store version of the last change; 0 if the object doesn't exist.
     version: int
     value: Raw = NULL
     deleted: bool = False
@@ -32,7 +32,7 @@
 
 
 class VersionConflict(Exception):
-    """The expected version is not the object's version."""
+    """The expected version differs from the object's version."""
 
     def __init__(self, current: StoredObject):
         super().__init__(f"object is at version {current.version}")
@@ -40,26 +40,26 @@
 
 
 @frozen
-class _Pending:
-    """A change that readers don't see yet."""
+class _PendingChange:
+    """A written change that is not visible to readers yet."""
 
-    due: float
+    visible_at: float
     change: StoredObject
 
 
 class KindStore:
-    """The objects of one kind: as written, and as readers see them."""
+    """The objects of one kind, as written and as visible to readers."""
 
     def __init__(self) -> None:
         self.written: dict[str, StoredObject] = {}
         self.visible: dict[str, StoredObject] = {}
-        self.pending: deque[_Pending] = deque()
+        self.pending: deque[_PendingChange] = deque()
         self.watchers: list[Deferred[None]] = []
 
-    def publish(self, now: float) -> None:
-        """Show readers the changes that are due, in the order of writing."""
+    def publish_due(self, now: float) -> None:
+        """Make the changes whose time has come visible, in the order of writing."""
         changed = False
-        while self.pending and self.pending[0].due <= now:
+        while self.pending and self.pending[0].visible_at <= now:
             change = self.pending.popleft().change
             self.visible[change.name] = change
             changed = True
@@ -70,7 +70,7 @@
             watcher.callback(None)
 
     def list_version(self, store_version: int) -> int:
-        """Return the version that a reader may watch from without a gap."""
+        """Return the version from which a watch misses no change."""
         if self.pending:
             return self.pending[0].change.version - 1
         return store_version
@@ -78,7 +78,7 @@
 
 @frozen
 class ObjectStore:
-    """All objects under one growing version."""
+    """All objects, with one version that increases with each write."""
 
     reactor: Any
     kinds: dict[str, KindStore] = field(
@@ -93,20 +93,20 @@
         return self.versions[0]
 
     def get(self, kind: str, name: str) -> StoredObject:
-        """Return an object as readers see it; version 0 when there is none."""
+        """Return the visible state of an object, with version 0 if there is none."""
         found = self.kinds[kind].visible.get(name)
         if found is None or found.deleted:
             return StoredObject(name, 0)
         return found
 
     def list(self, kind: str) -> ObjectList:
-        """Return the existing objects of a kind as readers see them."""
+        """Return the visible objects of a kind."""
         store = self.kinds[kind]
         items = tuple(x for x in store.visible.values() if not x.deleted)
         return ObjectList(store.list_version(self.version), items)
 
     def changes(self, kind: str, since: int) -> ObjectList:
-        """Return the objects changed since a version, deleted ones included."""
+        """Return the objects changed since a version, including deleted ones."""
         store = self.kinds[kind]
         items = tuple(x for x in store.visible.values() if x.version > since)
         return ObjectList(store.list_version(self.version), items)
@@ -135,31 +135,34 @@
         store.written[change.name] = change
         lag = self.lag.get(kind, 0.0)
         now = self.reactor.seconds()
-        store.pending.append(_Pending(now + lag, change))
+        store.pending.append(_PendingChange(now + lag, change))
         if lag > 0:
-            self.reactor.callLater(lag, self._publish, store)
-        store.publish(now)
+            self.reactor.callLater(lag, self._publish_due, store)
+        store.publish_due(now)
         return change
 
-    def _publish(self, store: KindStore) -> None:
-        store.publish(self.reactor.seconds())
+    def _publish_due(self, store: KindStore) -> None:
+        store.publish_due(self.reactor.seconds())
 
     def set_lag(self, seconds: float) -> None:
-        """Set for how long changes of the lists stay invisible."""
+        """Set the time for which changes of the lists stay invisible."""
         for kind in LAGGING_KINDS:
             self.lag[kind] = seconds
-            self._release(self.kinds[kind], seconds)
+            self._apply_lag(self.kinds[kind], seconds)
 
-    def _release(self, store: KindStore, lag: float) -> None:
-        """Bring forward the waiting changes when the lag becomes shorter."""
+    def _apply_lag(self, store: KindStore, lag: float) -> None:
+        """Make pending changes visible earlier if the lag becomes shorter."""
         now = self.reactor.seconds()
-        waiting = [_Pending(min(x.due, now + lag), x.change) for x in store.pending]
-        store.pending = deque(waiting)
-        if waiting and lag > 0:
-            self.reactor.callLater(lag, self._publish, store)
-        store.publish(now)
-
-    def changed(self, kind: str) -> Deferred[None]:
+        earlier = [
+            _PendingChange(min(x.visible_at, now + lag), x.change)
+            for x in store.pending
+        ]
+        store.pending = deque(earlier)
+        if earlier and lag > 0:
+            self.reactor.callLater(lag, self._publish_due, store)
+        store.publish_due(now)
+
+    def next_change(self, kind: str) -> Deferred[None]:
         """Return a Deferred that fires at the next visible change of a kind."""
         watchers = self.kinds[kind].watchers
         watcher: Deferred[None] = Deferred(lambda x: watchers.remove(x))
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""Serve the platform's object API, with faults on request."""
+"""Stub of the platform's object API, with faults on demand."""
 
 import sys
 from typing import Any, Literal
@@ -16,25 +16,33 @@
     OutgoingAnswer,
     json_answer,
 )
-from standins.command import TrackingSite, cut, listen, parse_flags, run, sleep
+from standins.command import (
+    TrackingSite,
+    listen,
+    parse_flags,
+    reset_connection,
+    run,
+    sleep,
+)
 from standins.object_store import KINDS, ObjectList, ObjectStore, VersionConflict
 
 OBJECTS_PATH = "/v1/objects/"
 WATCH_PATH = "/v1/watch/"
 MAX_VALUE_BYTES = 1 << 20
 DEFAULT_WATCH_MS = 10_000
-LONGEST_WATCH_MS = 60_000
+MAX_WATCH_MS = 60_000
 
 
 @frozen
 class PlatformFaults:
-    """The faults in effect; a POST to /faults replaces them all."""
+    """The faults to inject; a POST to /faults replaces them all."""
 
-    # "refuse" closes the port and every connection; "hang" answers nothing.
+    # "refuse" closes the port and all connections; "hang" delays answers until the
+    # fault ends.
     down: Literal["no", "refuse", "hang"] = "no"
     # Delay of every answer.
     delay_ms: float = 0.0
-    # Apply this many further writes and cut the connection instead of answering.
+    # Number of further writes that apply but get a connection reset, not an answer.
     lose_answers: int = 0
     # Time for which changes of the instance and server lists stay invisible.
     list_lag_s: float = 0.0
@@ -42,7 +50,7 @@
 
 @define
 class CallCounts:
-    """Calls received; a waiting watch counts as one read."""
+    """Counts of received calls; a watch counts as one read."""
 
     reads: int = 0
     writes: int = 0
@@ -51,21 +59,21 @@
     peak_writes_per_second: int = 0
     seconds: dict[int, list[int]] = field(factory=dict)
 
-    def count(self, second: int, write: bool) -> None:
-        """Count one call in a second of the clock."""
-        now = self.seconds.setdefault(second, [0, 0])
-        if write:
+    def record_call(self, second: int, is_write: bool) -> None:
+        """Count one call in a whole second of the clock."""
+        calls = self.seconds.setdefault(second, [0, 0])
+        if is_write:
             self.writes += 1
-            now[1] += 1
-            self.peak_writes_per_second = max(self.peak_writes_per_second, now[1])
+            calls[1] += 1
+            self.peak_writes_per_second = max(self.peak_writes_per_second, calls[1])
         else:
             self.reads += 1
-            now[0] += 1
-            self.peak_reads_per_second = max(self.peak_reads_per_second, now[0])
+            calls[0] += 1
+            self.peak_reads_per_second = max(self.peak_reads_per_second, calls[0])
 
 
-class Platform:
-    """The object API and its faults."""
+class PlatformStub:
+    """The object API, with the faults to inject."""
 
     def __init__(self, reactor: Any, address: str):
         self.reactor = reactor
@@ -74,27 +82,27 @@
         self.faults = PlatformFaults()
         self.lose_answers = 0
         self.counts = CallCounts()
-        self.hanging: list[Deferred[None]] = []
+        self.hanging_calls: list[Deferred[None]] = []
         self.site = TrackingSite(reactor, self.handle)
         self.port: Any = None
 
     async def handle(self, request: IncomingRequest) -> OutgoingAnswer:
-        """Answer one call, with the faults in effect."""
-        write = request.method in ("PUT", "DELETE")
-        self.counts.count(int(self.reactor.seconds()), write)
+        """Count and answer one call, subject to the faults."""
+        is_write = request.method in ("PUT", "DELETE")
+        self.counts.record_call(int(self.reactor.seconds()), is_write)
         if self.faults.down == "hang":
-            self.hanging.append(Deferred())
-            await self.hanging[-1]
+            self.hanging_calls.append(Deferred())
+            await self.hanging_calls[-1]
         if self.faults.delay_ms > 0:
             await sleep(self.reactor, self.faults.delay_ms / 1000)
         answer = await self.answer(request)
-        if write and self.lose_answers > 0:
+        if is_write and self.lose_answers > 0:
             self.lose_answers -= 1
-            cut(request.raw.channel)
+            reset_connection(request.raw.channel)
         return answer
 
     async def answer(self, request: IncomingRequest) -> OutgoingAnswer:
-        """Answer one call without faults and uncounted."""
+        """Answer one call without faults and without counting it."""
         if request.path.startswith(WATCH_PATH):
             return await self._watch(request)
         if not request.path.startswith(OBJECTS_PATH):
@@ -133,20 +141,20 @@
         self.counts.watches += 1
         since = int(request.argument("since") or "0")
         timeout_ms = int(request.argument("timeout_ms") or DEFAULT_WATCH_MS)
-        deadline = self.reactor.seconds() + min(timeout_ms, LONGEST_WATCH_MS) / 1000
+        deadline = self.reactor.seconds() + min(timeout_ms, MAX_WATCH_MS) / 1000
         while not self.store.changes(kind, since).items:
-            left = deadline - self.reactor.seconds()
-            if left <= 0:
+            remaining_s = deadline - self.reactor.seconds()
+            if remaining_s <= 0:
                 break
-            await self._change_or_timeout(kind, left, request)
+            await self._wait_for_change(kind, remaining_s, request)
             if getattr(request.raw, "gone", False):
                 break
         return list_answer(self.store.changes(kind, since))
 
-    async def _change_or_timeout(
+    async def _wait_for_change(
         self, kind: str, seconds: float, request: IncomingRequest
     ) -> None:
-        changed = self.store.changed(kind)
+        changed = self.store.next_change(kind)
         timer = self.reactor.callLater(seconds, changed.cancel)
         request.raw.notifyFinish().addErrback(lambda _: changed.cancel())
         try:
@@ -158,7 +166,7 @@
                 timer.cancel()
 
     def set_faults(self, faults: PlatformFaults) -> None:
-        """Replace the faults in effect."""
+        """Replace all faults; resume hanging calls unless the new faults hang them."""
         self.faults = faults
         self.lose_answers = faults.lose_answers
         self.store.set_lag(faults.list_lag_s)
@@ -167,12 +175,12 @@
         else:
             self.open()
         if faults.down != "hang":
-            hanging, self.hanging = self.hanging, []
-            for waiting in hanging:
-                waiting.callback(None)
+            hanging_calls, self.hanging_calls = self.hanging_calls, []
+            for pending in hanging_calls:
+                pending.callback(None)
 
     def open(self) -> None:
-        """Listen for callers."""
+        """Open the port for clients, unless it is open."""
         if self.port is None:
             self.port = listen(self.reactor, self.address, self.site)
 
@@ -180,22 +188,22 @@
         if self.port is not None:
             self.port.stopListening()
             self.port = None
-        self.site.cut_all()
+        self.site.reset_all()
 
 
 def list_answer(found: ObjectList) -> OutgoingAnswer:
-    """Return a list of objects as an answer."""
+    """Return an answer that contains a list of objects."""
     return json_answer(found)
 
 
 def check_kind(kind: str) -> None:
-    """Raise UNKNOWN_PATH unless the platform has the kind."""
+    """Raise UNKNOWN_PATH if the platform has no such kind."""
     if kind not in KINDS:
         raise SteeringError(ErrorKind.UNKNOWN_PATH, f"no such kind: {kind}")
 
 
 def check_value(value: bytes) -> None:
-    """Raise an error unless the value is JSON of at most 1 MB."""
+    """Raise SteeringError unless the value is JSON of at most 1 MB."""
     if len(value) > MAX_VALUE_BYTES:
         raise SteeringError(ErrorKind.BODY_TOO_LARGE, f"{len(value)} bytes")
     try:
@@ -215,8 +223,8 @@
         raise SteeringError(ErrorKind.BAD_REQUEST, f"If-Match: {text}") from error
 
 
-def admin_router(platform: Platform) -> Router:
-    """Return the handler of the admin port."""
+def admin_router(platform: PlatformStub) -> Router:
+    """Return the router of the admin port."""
 
     async def post_faults(request: IncomingRequest) -> OutgoingAnswer:
         platform.set_faults(from_json(request.body, PlatformFaults))
@@ -228,25 +236,25 @@
     router = Router()
     router.add("POST", "/faults", post_faults)
     router.add("GET", "/counts", get_counts)
-    # The platform's own machinery updates its lists while callers see faults.
+    # Updates of the lists by the platform itself bypass the faults.
     router.add("*", "/v1/", platform.answer)
     return router
 
 
 def define_flags(values: flags.FlagValues) -> None:
-    """Define the flags of the stand-in."""
+    """Define the command-line flags."""
     flags.DEFINE_string("listen", "127.0.0.1:7000", "Object API.", flag_values=values)
     flags.DEFINE_string("faults", "127.0.0.1:7001", "Admin port.", flag_values=values)
 
 
 def main(arguments: list[str]) -> None:
-    """Run the platform stand-in until the process is stopped."""
+    """Run the platform stub until the process is stopped."""
     from twisted.internet import reactor
 
     values = parse_flags(define_flags, arguments)
 
     async def start() -> None:
-        platform = Platform(reactor, values["listen"].value)
+        platform = PlatformStub(reactor, values["listen"].value)
         platform.open()
         site = TrackingSite(reactor, admin_router(platform))
         listen(reactor, values["faults"].value, site)
--- a/standins/platform_server.py
+++ b/standins/platform_server.py
@@ -1,4 +1,4 @@
-"""Stand-in for an endpoint of the users' platform."""
+"""Stub of a backend endpoint on the platform that runs the node."""
 
 from collections import Counter
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
@@ -19,9 +19,9 @@
             return
         with server.lock:
             server.runs[request_id] += 1
-        text = b"%s %s " % (self.command.encode(), self.path.encode()) + body
-        stamp = {"Attempt-Id": request_id, "Server-Stamp": server.instance}
-        self._send(200, text, {**stamp, "Server-Load": "1,0,4"})
+        answer_body = b"%s %s " % (self.command.encode(), self.path.encode()) + body
+        headers = {"Attempt-Id": request_id, "Server-Stamp": server.instance}
+        self._send(200, answer_body, {**headers, "Server-Load": "1,0,4"})
 
     def _send(self, status: int, body: bytes, headers: dict[str, str]) -> None:
         self.send_response(status)
@@ -34,11 +34,11 @@
     do_GET = do_POST = _answer  # noqa: N815
 
     def log_message(self, *_arguments: Any) -> None:
-        """Write no access log."""
+        """Suppress the access log."""
 
 
 class PlatformEndpoint:
-    """An endpoint on a port of the loopback interface; counts what it runs."""
+    """An endpoint on a loopback port that counts its runs of each request id."""
 
     def __init__(self, instance: str, address: str = "127.0.0.1"):
         self.server = ThreadingHTTPServer((address, 0), _Handler)
@@ -50,6 +50,6 @@
         Thread(target=self.server.serve_forever, daemon=True).start()
 
     def stop(self) -> None:
-        """Close the port."""
+        """Stop serving and close the port."""
         self.server.shutdown()
         self.server.server_close()
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,4 +1,7 @@
-"""Stand-in for the store of the users' platform, as its published pages describe it."""
+"""Stub of the object store on the platform that runs the node.
+
+It follows the published description of the platform.
+"""
 
 import json
 from collections.abc import Mapping
@@ -7,7 +10,7 @@
 from typing import Any
 from urllib.parse import parse_qs, unquote, urlsplit
 
-PAGE = 500
+PAGE_SIZE = 500
 
 
 class PlatformStoreState:
@@ -17,15 +20,15 @@
         self.changed = Condition()
         self.revision = 1
         self.kinds: dict[str, dict[str, Any]] = {}
-        # (revision, kind, object, whether it was removed)
+        # Entries: revision, kind, object, whether the object was removed.
         self.history: list[tuple[int, str, Any, bool]] = []
-        # Revision up to which the history is gone.
-        self.forgotten = 0
-        # Answer every call with this status, if set.
+        # Watches from below this revision get 410.
+        self.compacted_revision = 0
+        # Status with which every call is answered, if set.
         self.refuse_with: int | None = None
 
     def put(self, kind: str, name: str, spec: Any) -> dict[str, Any]:
-        """Write an object whatever its revision."""
+        """Write an object, regardless of its revision."""
         with self.changed:
             return self._write(kind, name, spec)
 
@@ -33,15 +36,15 @@
         """Remove an object."""
         with self.changed:
             self.revision += 1
-            gone = self.kinds[kind].pop(name)
-            gone["Metadata"]["Rev"] = self.revision
-            self._note(kind, gone, True)
+            removed = self.kinds[kind].pop(name)
+            removed["Metadata"]["Rev"] = self.revision
+            self._record_change(kind, removed, True)
 
     def forget_history(self) -> None:
-        """Drop the history; watches from before get 410."""
+        """Drop the history, so that watches from earlier revisions get 410."""
         with self.changed:
             self.revision += 1
-            self.forgotten = self.revision
+            self.compacted_revision = self.revision
             self.history.clear()
             self.changed.notify_all()
 
@@ -50,53 +53,54 @@
         metadata = {"Name": name, "Rev": self.revision, "Finalizers": []}
         written = {"Metadata": metadata, "Spec": spec, "Status": None}
         self.kinds.setdefault(kind, {})[name] = written
-        self._note(kind, written, False)
+        self._record_change(kind, written, False)
         return written
 
-    def _note(self, kind: str, value: Any, removed: bool) -> None:
+    def _record_change(self, kind: str, value: Any, removed: bool) -> None:
         snapshot = json.loads(json.dumps(value))
         self.history.append((self.revision, kind, snapshot, removed))
         self.changed.notify_all()
 
     def create(self, kind: str, body: Mapping[str, Any]) -> tuple[int, Any]:
-        """Create an object; 409 if it exists."""
+        """Create an object; return 409 if it exists."""
         name = body["Metadata"]["Name"]
         with self.changed:
-            known = self.kinds.get(kind, {}).get(name)
-            if known is not None:
-                return 409, known
+            current = self.kinds.get(kind, {}).get(name)
+            if current is not None:
+                return 409, current
             return 201, self._write(kind, name, body["Spec"])
 
     def replace(self, kind: str, name: str, body: Mapping[str, Any]) -> tuple[int, Any]:
-        """Replace an object; 409 if it has another revision."""
+        """Replace an object; return 409 if the expected revision doesn't match."""
         with self.changed:
-            known = self.kinds.get(kind, {}).get(name)
-            if known is None:
+            current = self.kinds.get(kind, {}).get(name)
+            if current is None:
                 return 404, {"Error": "no such object"}
-            told = body["Metadata"].get("Rev")
-            if told is not None and told != known["Metadata"]["Rev"]:
-                return 409, known
+            expected = body["Metadata"].get("Rev")
+            if expected is not None and expected != current["Metadata"]["Rev"]:
+                return 409, current
             return 200, self._write(kind, name, body["Spec"])
 
     def page(self, kind: str, after: str) -> tuple[int, Any]:
-        """List the objects of a kind."""
+        """Return one page of the objects of a kind, by name after a given one."""
         with self.changed:
             names = sorted(n for n in self.kinds.get(kind, {}) if n > after)
-            items = [self.kinds[kind][name] for name in names[:PAGE]]
-            more = len(names) > PAGE
+            items = [self.kinds[kind][name] for name in names[:PAGE_SIZE]]
+            has_more = len(names) > PAGE_SIZE
             return 200, {
                 "items": items,
-                "HasMore": more,
+                "HasMore": has_more,
                 "StoreRevision": self.revision,
             }
 
     def watch(self, kind: str, since: int, wait_s: float) -> tuple[int, Any]:
-        """Return the changes after a revision, or none after a time."""
+        """Return the changes after a revision; wait up to wait_s for the first."""
         with self.changed:
             self.changed.wait_for(
-                lambda: since < self.forgotten or self._events(kind, since), wait_s
+                lambda: since < self.compacted_revision or self._events(kind, since),
+                wait_s,
             )
-            if since < self.forgotten:
+            if since < self.compacted_revision:
                 return 410, {"Error": "the history is gone"}
             events = self._events(kind, since)
             return 200, {"events": events, "StoreRevision": self.revision}
@@ -104,8 +108,8 @@
     def _events(self, kind: str, since: int) -> list[Any]:
         return [
             {"Object": value, "Deleted": removed}
-            for revision, changed, value, removed in self.history
-            if changed == kind and revision > since
+            for revision, changed_kind, value, removed in self.history
+            if changed_kind == kind and revision > since
         ]
 
 
@@ -119,7 +123,7 @@
         if state.refuse_with is not None:
             status, value = state.refuse_with, {"Error": "refused"}
         else:
-            status, value = self._call(state, body)
+            status, value = self._dispatch(state, body)
         data = json.dumps(value).encode()
         self.send_response(status)
         self.send_header("Content-Type", "application/json")
@@ -127,7 +131,7 @@
         self.end_headers()
         self.wfile.write(data)
 
-    def _call(self, state: PlatformStoreState, body: Any) -> tuple[int, Any]:
+    def _dispatch(self, state: PlatformStoreState, body: Any) -> tuple[int, Any]:
         url = urlsplit(self.path)
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         parts = [unquote(part) for part in url.path.split("/")[2:]]
@@ -146,11 +150,11 @@
     do_GET = do_POST = do_PUT = _answer  # noqa: N815
 
     def log_message(self, *_arguments: Any) -> None:
-        """Write no access log."""
+        """Suppress the access log."""
 
 
 class PlatformStoreServer:
-    """The store on a port of the loopback interface."""
+    """The store on a loopback port."""
 
     def __init__(self, address: str = "127.0.0.1"):
         self.state = PlatformStoreState()
@@ -162,6 +166,6 @@
         self.thread.start()
 
     def stop(self) -> None:
-        """Close the port."""
+        """Stop serving and close the port."""
         self.server.shutdown()
         self.server.server_close()
--- a/standins/proxy_flow.py
+++ b/standins/proxy_flow.py
@@ -1,4 +1,4 @@
-"""One direction of a proxied connection: delay, shared rate, order, truncation."""
+"""One direction of a proxied connection, with delay, rate limit and truncation."""
 
 from collections import deque
 from collections.abc import Callable
@@ -8,23 +8,23 @@
 
 from standins.proxy_rules import DirectionEffect
 
-# Reading pauses above this, so that a slow link holds back its sender.
+# Reading pauses above this size, so that a slow link slows down its sender.
 MAX_QUEUED_BYTES = 256 << 10
 # epoll rounds timers up to whole milliseconds. Sending half a millisecond early
-# centres the error on zero.
+# centres the timing error on zero.
 TIMER_SLACK_S = 0.0005
 
 
 @define
-class LinkClock:
-    """When a shared link is free again, and what it carried."""
+class LinkSchedule:
+    """The time at which a shared link becomes free, and the bytes it has carried."""
 
     bytes_per_second: float
     free_at: float = 0.0
     carried_bytes: int = 0
 
-    def carry(self, size: int, now: float) -> float:
-        """Return the time at which the last byte has been sent."""
+    def schedule_send(self, size: int, now: float) -> float:
+        """Occupy the link for some bytes; return when the last byte is sent."""
         start = max(now, self.free_at)
         self.free_at = start + size / self.bytes_per_second
         self.carried_bytes += size
@@ -33,94 +33,94 @@
 
 @frozen
 class _Chunk:
-    """Bytes to pass on; None is the end of the stream."""
+    """Bytes to forward at a time; None is the end of the stream."""
 
-    due: float
+    due_at: float
     data: bytes | None
     clean: bool = True
 
 
 class Flow:
-    """Pass bytes on from one side to the other, each after its delay."""
+    """Forward bytes in order from a source to a sink, each after its delay."""
 
-    def __init__(self, reactor: Any, links: dict[str, LinkClock], cut: Callable):
+    def __init__(self, reactor: Any, links: dict[str, LinkSchedule], reset: Callable):
         self.reactor = reactor
         self.links = links
-        self.cut = cut
+        self.reset = reset
         self.effect = DirectionEffect()
         self.queue: deque[_Chunk] = deque()
         self.queued_bytes = 0
-        self.passed_bytes = 0
-        self.last_due = 0.0
+        self.forwarded_bytes = 0
+        self.last_due_at = 0.0
         self.timer: Any = None
         self.source: Any = None
         self.sink: Any = None
-        self.ended = False
+        self.is_source_closed = False
 
     def receive(self, data: bytes) -> None:
-        """Take bytes from the source."""
+        """Queue bytes from the source; pause it if the queue is too long."""
         now = self.reactor.seconds()
-        sent = now
+        sent_at = now
         for name in self.effect.links:
-            sent = max(sent, self.links[name].carry(len(data), now))
-        self._append(data, sent + self.effect.delay_s)
+            sent_at = max(sent_at, self.links[name].schedule_send(len(data), now))
+        self._append(data, sent_at + self.effect.delay_s)
         self.queued_bytes += len(data)
         if self.queued_bytes > MAX_QUEUED_BYTES and self.source is not None:
             self.source.pauseProducing()
-        self.wake()
+        self.send_due()
 
-    def end(self, clean: bool) -> None:
-        """Note that the source has closed its side."""
-        if self.ended:
+    def record_source_close(self, clean: bool) -> None:
+        """Queue the end of the stream; reset the sink unless the close was clean."""
+        if self.is_source_closed:
             return
-        self.ended = True
+        self.is_source_closed = True
         self._append(None, self.reactor.seconds() + self.effect.delay_s, clean)
-        self.wake()
+        self.send_due()
 
-    def _append(self, data: bytes | None, due: float, clean: bool = True) -> None:
-        # Never before earlier bytes, also when the delay has become shorter.
-        self.last_due = max(due, self.last_due)
-        self.queue.append(_Chunk(self.last_due, data, clean))
+    def _append(self, data: bytes | None, due_at: float, clean: bool = True) -> None:
+        # Bytes stay in order when the delay becomes shorter.
+        self.last_due_at = max(due_at, self.last_due_at)
+        self.queue.append(_Chunk(self.last_due_at, data, clean))
 
     def set_effect(self, effect: DirectionEffect) -> None:
-        """Change what applies to the direction."""
+        """Replace the effect of the rules on this direction."""
         self.effect = effect
-        self.wake()
+        self.send_due()
 
-    def wake(self) -> None:
-        """Pass on what is due and set a timer for the rest."""
+    def send_due(self) -> None:
+        """Forward the chunks that are due and set a timer for the next one."""
         if self.effect.frozen or self.sink is None:
             return
-        limit = self.reactor.seconds() + TIMER_SLACK_S
-        while self.queue and self.queue[0].due <= limit:
-            self._pass(self.queue.popleft())
+        now = self.reactor.seconds() + TIMER_SLACK_S
+        while self.queue and self.queue[0].due_at <= now:
+            self._forward_chunk(self.queue.popleft())
         if self.queue and self.timer is None:
-            delay = max(self.queue[0].due - limit, 0.0)
+            delay = max(self.queue[0].due_at - now, 0.0)
             self.timer = self.reactor.callLater(delay, self._timer_fired)
 
     def _timer_fired(self) -> None:
         self.timer = None
-        self.wake()
+        self.send_due()
 
-    def _pass(self, chunk: _Chunk) -> None:
+    def _forward_chunk(self, chunk: _Chunk) -> None:
         if chunk.data is None:
             self._close(chunk.clean)
             return
         self.queued_bytes -= len(chunk.data)
-        data = self._truncated(chunk.data)
-        self.passed_bytes += len(data)
+        data = self._truncate(chunk.data)
+        self.forwarded_bytes += len(data)
         self.sink.write(data)
         if len(data) < len(chunk.data):
-            # The bytes before the limit have to arrive, so the reset comes after them.
-            self.reactor.callLater(0.01, self.cut)
+            # The reset is delayed so that the bytes before the limit arrive first.
+            self.reactor.callLater(0.01, self.reset)
             self.queue.clear()
         if self.queued_bytes <= MAX_QUEUED_BYTES and self.source is not None:
             self.source.resumeProducing()
 
-    def _truncated(self, data: bytes) -> bytes:
+    def _truncate(self, data: bytes) -> bytes:
         if self.effect.truncate_after is None:
             return data
-        return data[: max(self.effect.truncate_after - self.passed_bytes, 0)]
+        return data[: max(self.effect.truncate_after - self.forwarded_bytes, 0)]
 
     def _close(self, clean: bool) -> None:
         if clean:
@@ -129,7 +129,7 @@
             self.sink.abortConnection()
 
     def stop(self) -> None:
-        """Drop what is queued."""
+        """Drop the queued bytes and stop the timer."""
         self.queue.clear()
         if self.timer is not None:
             self.timer.cancel()
--- a/standins/proxy_rules.py
+++ b/standins/proxy_rules.py
@@ -1,4 +1,4 @@
-"""The configuration of the fault proxy, and what it means for one connection."""
+"""The configuration of the fault proxy and its effect on one connection."""
 
 from typing import Literal
 
@@ -10,7 +10,7 @@
 
 @frozen
 class Listener:
-    """An address that the proxy owns and the address that it forwards to."""
+    """An address where the proxy listens and the target that it forwards to."""
 
     listen: str
     target: str
@@ -18,7 +18,7 @@
 
 @frozen
 class ProxyLink:
-    """A shared one-way capacity."""
+    """A one-way link whose capacity all its connections share."""
 
     name: str
     bytes_per_second: float
@@ -26,10 +26,10 @@
 
 @frozen(kw_only=True)
 class ProxyRule:
-    """What happens to connections from some sources to some listeners.
+    """A fault or delay on the connections from some sources to some listeners.
 
     Source and target are prefixes of the text "ip:port"; an empty one matches all.
-    Forward is the direction from the caller to the target.
+    Forward is the direction from the client to the target.
     """
 
     name: str
@@ -38,14 +38,14 @@
     direction: Direction = "both"
     # One-way delay.
     delay_ms: float = 0.0
-    # Links whose capacity the bytes of each direction use.
+    # Names of the links whose capacity the bytes of each direction use.
     forward_link: str | None = None
     back_link: str | None = None
-    # "cut" resets connections; it also closes the port when it matches all sources.
-    # "freeze" keeps connections and passes nothing. "half_open" closes the target's
-    # side and keeps the caller's.
+    # "cut" resets connections; it also closes the port if it matches all sources.
+    # "freeze" keeps connections open and forwards nothing. "half_open" closes the
+    # target's side and keeps the client's side open.
     action: Action = "none"
-    # Reset a connection after this many bytes in the rule's directions.
+    # Number of bytes in the rule's direction after which a connection is reset.
     truncate_after: int | None = None
 
     def matches(self, source: str, target: str) -> bool:
@@ -55,7 +55,7 @@
 
 @frozen
 class ProxyConfig:
-    """The whole configuration; a POST to /config replaces it."""
+    """The complete configuration; a POST to /config replaces it."""
 
     listeners: tuple[Listener, ...] = ()
     links: tuple[ProxyLink, ...] = ()
@@ -64,7 +64,7 @@
 
 @frozen
 class DirectionEffect:
-    """What applies to one direction of one connection."""
+    """The combined effect of the rules on one direction of a connection."""
 
     delay_s: float = 0.0
     links: tuple[str, ...] = ()
@@ -73,10 +73,10 @@
 
 
 @frozen
-class Effect:
-    """What applies to one connection."""
+class ConnectionEffect:
+    """The combined effect of the rules on one connection."""
 
-    cut: bool = False
+    reset: bool = False
     half_open: bool = False
     forward: DirectionEffect = field(factory=DirectionEffect)
     back: DirectionEffect = field(factory=DirectionEffect)
@@ -85,21 +85,21 @@
 def _direction_effect(
     rules: list[ProxyRule], direction: Direction, links: list[str | None]
 ) -> DirectionEffect:
-    applying = [rule for rule in rules if rule.direction in ("both", direction)]
-    truncations = [x.truncate_after for x in applying if x.truncate_after is not None]
+    matching = [rule for rule in rules if rule.direction in ("both", direction)]
+    truncations = [x.truncate_after for x in matching if x.truncate_after is not None]
     return DirectionEffect(
-        sum(rule.delay_ms for rule in applying) / 1000,
+        sum(rule.delay_ms for rule in matching) / 1000,
         tuple(link for link in links if link is not None),
-        any(rule.action == "freeze" for rule in applying),
+        any(rule.action == "freeze" for rule in matching),
         min(truncations, default=None),
     )
 
 
-def effect_for(config: ProxyConfig, source: str, target: str) -> Effect:
-    """Return the sum of the rules that match a connection."""
+def effect_for(config: ProxyConfig, source: str, target: str) -> ConnectionEffect:
+    """Return the combined effect of the rules that match a connection."""
     rules = [rule for rule in config.rules if rule.matches(source, target)]
     actions = {rule.action for rule in rules}
-    return Effect(
+    return ConnectionEffect(
         "cut" in actions,
         "half_open" in actions,
         _direction_effect(rules, "forward", [rule.forward_link for rule in rules]),
@@ -107,8 +107,8 @@
     )
 
 
-def port_closed(config: ProxyConfig, target: str) -> bool:
-    """Return whether a cut applies to a listener whatever the source."""
+def is_port_closed(config: ProxyConfig, target: str) -> bool:
+    """Return whether a rule cuts a listener from all sources."""
     return any(
         rule.action == "cut" and not rule.source and target.startswith(rule.target)
         for rule in config.rules
--- a/standins/proxy_target.py
+++ b/standins/proxy_target.py
@@ -1,4 +1,4 @@
-"""Watch whether a target accepts connections, so that its listener can refuse."""
+"""Monitor whether a target accepts connections, so that its listener can refuse."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,45 +7,44 @@
 
 from ebonybend.addresses import split_address
 
-RETRY_S = 0.05
+RETRY_DELAY_S = 0.05
 CONNECT_TIMEOUT_S = 5.0
 
 
-class _Idle(Protocol):
-    """A connection that stays idle while the target lives."""
+class _IdleConnection(Protocol):
+    """A connection that stays open and idle while the target runs."""
 
     def connectionMade(self) -> None:
-        self.factory.watch.connected(self.transport)
+        self.factory.monitor.handle_connect(self.transport)
 
     def connectionLost(self, reason: Any = None) -> None:
-        self.factory.watch.lost()
+        self.factory.monitor.handle_disconnect()
 
 
-class _IdleFactory(ClientFactory):
-    """Make the idle connection and report when it fails."""
+class _IdleConnectionFactory(ClientFactory):
+    """Open the idle connection and report a failed attempt."""
 
     noisy = False
-    protocol = _Idle
+    protocol = _IdleConnection
 
-    def __init__(self, watch: "TargetWatch"):
-        self.watch = watch
+    def __init__(self, monitor: "TargetMonitor"):
+        self.monitor = monitor
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.watch.failed()
+        self.monitor.handle_connect_failure()
 
 
-class TargetWatch:
+class TargetMonitor:
     """Keep one idle connection to a target and report when it opens or closes.
 
-    A proxy that accepts a connection before it knows that the target refuses it
-    would turn a refused connection into a lost one, and callers conclude different
-    things from the two.
+    A proxy that accepts a connection which the target then refuses turns a refused
+    connection into a lost one, and clients handle these two differently.
     """
 
-    def __init__(self, reactor: Any, target: str, changed: Callable[[bool], None]):
+    def __init__(self, reactor: Any, target: str, on_change: Callable[[bool], None]):
         self.reactor = reactor
         self.target = target
-        self.changed = changed
+        self.on_change = on_change
         self.stopped = False
         self.transport: Any = None
         self.connect()
@@ -55,31 +54,31 @@
         if self.stopped:
             return
         host, port = split_address(self.target)
-        factory = _IdleFactory(self)
+        factory = _IdleConnectionFactory(self)
         self.reactor.connectTCP(host, port, factory, timeout=CONNECT_TIMEOUT_S)
 
-    def connected(self, transport: Any) -> None:
-        """Note that the target accepts connections."""
+    def handle_connect(self, transport: Any) -> None:
+        """Report that the target accepts connections."""
         self.transport = transport
         if self.stopped:
             transport.abortConnection()
             return
-        self.changed(True)
+        self.on_change(True)
 
-    def lost(self) -> None:
-        """Find out whether the target is gone or only closed an idle connection."""
+    def handle_disconnect(self) -> None:
+        """Reconnect; only a failed attempt means that the target is down."""
         self.transport = None
         self.connect()
 
-    def failed(self) -> None:
-        """Note that the target refuses connections; try again later."""
+    def handle_connect_failure(self) -> None:
+        """Report that the target refuses connections; retry later."""
         if self.stopped:
             return
-        self.changed(False)
-        self.reactor.callLater(RETRY_S, self.connect)
+        self.on_change(False)
+        self.reactor.callLater(RETRY_DELAY_S, self.connect)
 
     def stop(self) -> None:
-        """Close the idle connection."""
+        """Close the idle connection and stop reconnecting."""
         self.stopped = True
         if self.transport is not None:
             self.transport.abortConnection()
--- a/standins/server_history.py
+++ b/standins/server_history.py
@@ -1,4 +1,4 @@
-"""The file in which a backend server records what it ran."""
+"""The history file in which a backend server records its requests."""
 
 import os
 from typing import Literal
@@ -13,10 +13,10 @@
 class ServerEvent:
     """One event of one request on one backend server."""
 
-    # Seconds of the machine's monotonic clock, comparable between processes.
+    # Seconds of the monotonic clock of the machine, comparable between processes.
     at: float
     server: str
-    # Process id, so that two runs of a server can be told apart.
+    # Process id, to distinguish the runs of a restarted server.
     process: int
     event: EventKind
     request_id: str
@@ -33,10 +33,10 @@
 
 
 class HistoryFile:
-    """Append events as JSON lines; each is written at once."""
+    """A file of events as JSON lines, each written immediately."""
 
     def __init__(self, path: str):
-        # Without a buffer, so that a crash loses no event.
+        # Unbuffered, so that a crash loses no event.
         self.descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
 
     def write(self, event: ServerEvent) -> None:
--- a/standins/tests/test_object_store.py
+++ b/standins/tests/test_object_store.py
@@ -13,7 +13,7 @@
     def names(self, kind):
         return [item.name for item in self.store.list(kind).items]
 
-    def test_conditional_write_guards_against_lost_updates(self):
+    def test_conditional_write_rejects_an_outdated_version(self):
         first = self.store.put("rules", "main", b"1", 0)
         self.store.put("rules", "main", b"2", first.version)
         conflict = self.assertRaises(
@@ -27,17 +27,17 @@
         self.assertEqual(0, self.store.get("rules", "main").version)
         self.store.put("rules", "main", b"2", 0)
 
-    def test_version_of_lagging_list_leaves_no_gap(self):
+    def test_watch_from_version_of_lagging_list_misses_no_change(self):
         self.store.set_lag(5.0)
         self.store.put("server", "a", b"1", None)
         self.store.put("rules", "main", b"1", None)
-        before = self.store.list("server")
-        self.assertEqual((), before.items)
+        listed = self.store.list("server")
+        self.assertEqual((), listed.items)
         self.clock.advance(5.0)
-        changed = self.store.changes("server", before.version)
-        self.assertEqual(["a"], [item.name for item in changed.items])
+        changes = self.store.changes("server", listed.version)
+        self.assertEqual(["a"], [item.name for item in changes.items])
 
-    def test_lagging_changes_stay_in_order_when_the_lag_ends(self):
+    def test_pending_changes_stay_in_order_when_the_lag_ends(self):
         self.store.set_lag(5.0)
         self.store.put("server", "a", b"1", None)
         self.clock.advance(1.0)
@@ -46,16 +46,16 @@
         self.clock.advance(10.0)
         self.assertEqual([], self.names("server"))
 
-    def test_kinds_other_than_lists_do_not_lag(self):
+    def test_kinds_other_than_instance_and_server_do_not_lag(self):
         self.store.set_lag(5.0)
         self.store.put("rules", "main", b"1", None)
         self.assertEqual(["main"], self.names("rules"))
 
-    def test_watch_wakes_once_a_change_is_visible(self):
+    def test_watch_returns_when_a_change_becomes_visible(self):
         self.store.set_lag(5.0)
-        woken = []
-        self.store.changed("server").addCallback(woken.append)
+        visible_changes = []
+        self.store.next_change("server").addCallback(visible_changes.append)
         self.store.put("server", "a", b"1", None)
-        self.assertEqual([], woken)
+        self.assertEqual([], visible_changes)
         self.clock.advance(5.0)
-        self.assertEqual([None], woken)
+        self.assertEqual([None], visible_changes)
