--- a/bench/figures/__init__.py
+++ b/bench/figures/__init__.py
@@ -1,4 +1,4 @@
-"""Measurements, each beside its baseline in the same run."""
+"""Measurements, each with the baseline from the same run."""
 
 from bench.figures.figure import Figure
 
--- a/bench/figures/cap.py
+++ b/bench/figures/cap.py
@@ -1,4 +1,4 @@
-"""The use of a shift's cap, with all well and with faults."""
+"""The use of the cap of a shift, without and with faults."""
 
 from bisect import bisect_left
 from collections.abc import Iterator
@@ -18,24 +18,25 @@
 SERVICE = "ride-history"
 LOAD_S = 30.0
 RAMP_S = 12.0
-# Sends in a window of 1 s arrive within a window shorter by the spread of the latency.
+# A cap bounds the sends in 1 s. The window of their arrivals is shorter by the spread
+# of the latency.
 WINDOW_S = 0.95
-SHAPE = LoadShape(read_rate=60.0, write_rate=2.0)
-MEAN_TARGET = 0.85
+LOAD_SHAPE = LoadShape(read_rate=60.0, write_rate=2.0)
+TARGET_MEAN_USE = 0.85
 
 
-def arrivals(fleet: Fleet, load: PlayedLoad) -> list[float]:
-    """Return when moved requests reached the backend servers of the target region.
+def moved_arrivals(fleet: Fleet, load: PlayedLoad) -> list[float]:
+    """Return the times at which moved requests reached servers of the target region.
 
-    Moved are those sent to entries of the source region, not those of callers that go
-    to entries of the target region by themselves.
+    Moved requests are those that clients sent to entries of the source region. Requests
+    that clients sent directly to entries of the target region don't count.
     """
-    senders = fleet.plan.deployment.region_instances(SOURCE)
-    moved = {
+    source_instances = fleet.plan.deployment.region_instances(SOURCE)
+    moved_ids = {
         attempt.request_id
         for operation in load.operations()
         for attempt in operation.attempts
-        if attempt.instance in senders
+        if attempt.instance in source_instances
     }
     domains = [
         x.name for x in fleet.plan.deployment.failure_domains if x.region == TARGET
@@ -46,19 +47,19 @@
         if x.failure_domain in domains and x.service == SERVICE
     ]
     events = read_server_events(paths)
-    return [x.at for x in events if x.event == "received" and x.request_id in moved]
+    return [x.at for x in events if x.event == "received" and x.request_id in moved_ids]
 
 
-def highest(times: list[float]) -> int:
-    """Return the most arrivals in any window."""
+def max_arrivals_in_window(times: list[float]) -> int:
+    """Return the largest number of arrivals in any window."""
     return max(
-        (bisect_left(times, at + WINDOW_S) - number for number, at in enumerate(times)),
+        (bisect_left(times, at + WINDOW_S) - index for index, at in enumerate(times)),
         default=0,
     )
 
 
 def write_shift(fleet: Fleet) -> None:
-    """Put the shift in force."""
+    """Apply a rule that shifts requests to the target region under a cap."""
     path = fleet.directory / "shift.rules"
     path.write_text(
         "# Bench (measurement): move readers\n"
@@ -69,27 +70,27 @@
 
 
 def cap(seed: int) -> Iterator[Figure]:
-    """Measure the highest window and the mean use."""
+    """Measure the mean use of the cap and its peak, without and with faults."""
     with Fleet(blue_mahoe(), FleetOptions()) as fleet:
         write_shift(fleet)
-        load = play(fleet, SHAPE, LOAD_S, seed)
+        load = play(fleet, LOAD_SHAPE, LOAD_S, seed)
         load.wait()
-        well = arrivals(fleet, load)
-        load = play(fleet, SHAPE, LOAD_S, seed + 1)
-        _disturb(fleet)
+        undisturbed = moved_arrivals(fleet, load)
+        load = play(fleet, LOAD_SHAPE, LOAD_S, seed + 1)
+        _inject_faults(fleet)
         load.wait()
-        disturbed = arrivals(fleet, load)
-    steady = [at for at in well if at >= well[0] + RAMP_S]
+        disturbed = moved_arrivals(fleet, load)
+    steady = [at for at in undisturbed if at >= undisturbed[0] + RAMP_S]
     mean = len(steady) / (steady[-1] - steady[0]) / CAP
-    yield Figure("cap_mean_use", mean, "of the cap", MEAN_TARGET, None, seed)
-    peak = highest(well) / CAP
+    yield Figure("cap_mean_use", mean, "of the cap", TARGET_MEAN_USE, None, seed)
+    peak = max_arrivals_in_window(undisturbed) / CAP
     yield Figure("cap_peak_well", peak, "of the cap", 1.0, peak, seed)
-    peak = highest(disturbed) / CAP
+    peak = max_arrivals_in_window(disturbed) / CAP
     yield Figure("cap_peak", peak, "of the cap", 1.0, peak, seed)
 
 
-def _disturb(fleet: Fleet) -> None:
-    """Kill, replace and pause senders while the platform is down."""
+def _inject_faults(fleet: Fleet) -> None:
+    """Kill, restart and pause source instances while the platform is down."""
     first, second, third = fleet.plan.deployment.region_instances(SOURCE)
     sleep(4.0)
     fleet.set_platform_faults(PlatformFaults(down="refuse"))
--- a/bench/figures/choice_model.py
+++ b/bench/figures/choice_model.py
@@ -1,4 +1,4 @@
-"""A model of uneven backend servers for comparing ways to choose among them."""
+"""A simulation of uneven backend servers, to compare load-balancing policies."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -16,40 +16,40 @@
 
 SERVERS = 12
 SLOTS = 4
-# The slowest server takes three times as long as the fastest.
-SPEEDS = tuple(1.0 + 2.0 * number / (SERVERS - 1) for number in range(SERVERS))
+# Factors on the service time; the slowest server takes three times the fastest's time.
+TIME_FACTORS = tuple(1.0 + 2.0 * server / (SERVERS - 1) for server in range(SERVERS))
 BASE_S = 0.02
-# A request slows the others on its server by this fraction when all slots are used.
-CROWDING = 0.5
+# Fraction by which a request takes longer on a server whose slots are all in use.
+CONTENTION = 0.5
 COLD_SERVER = 0
 COLD_FACTOR = 4.0
 COLD_S = 5.0
 REPORT_LAG_S = 1.0
 DURATION_S = 60.0
-# Requests per second; about half of what the servers can do.
-ARRIVALS = 500.0
-LEDGER_SETTLED_S = 10.0
+# Requests per second, about half of the capacity of the servers.
+ARRIVAL_RATE = 500.0
+LEDGER_SETTLE_S = 10.0
 
 
 class Policy(Protocol):
-    """A way to choose a server for a request."""
+    """A load-balancing policy."""
 
     def choose(self, model: "Model") -> int | None:
-        """Return the position of a server with a free slot, or None."""
+        """Return the index of a server with a free slot, or None."""
         ...
 
-    def finished(self, server: int, latency_s: float) -> None:
-        """Take in the end of a request."""
+    def record_end(self, server: int, latency_s: float) -> None:
+        """Record the end of a request."""
         ...
 
 
 @frozen
 class ModelResult:
-    """What a policy achieved."""
+    """The latencies, refusals and balance that a policy achieved."""
 
     latencies_ms: list[float]
     refused: int
-    # Highest use of a server over the mean use of all, over the whole run.
+    # Highest busy time of a server, relative to the mean of all servers.
     imbalance: float
 
     def percentile(self, fraction: float) -> float:
@@ -60,29 +60,29 @@
 
 @define
 class Model:
-    """Servers with slots, one entry that owns them all, and random arrivals."""
+    """Servers with slots that one entry owns, and requests that arrive at random."""
 
     clock: ManualClock
     random: Random
     in_flight: list[int] = field(factory=lambda: [0] * SERVERS)
-    # In-flight counts as they were reported, REPORT_LAG_S ago.
+    # Last reported in-flight counts; a report arrives after REPORT_LAG_S.
     reported: list[int] = field(factory=lambda: [0] * SERVERS)
     busy_s: list[float] = field(factory=lambda: [0.0] * SERVERS)
 
-    def free(self) -> list[int]:
-        """Return the positions of the servers with a free slot."""
+    def free_servers(self) -> list[int]:
+        """Return the indexes of the servers with a free slot."""
         return [x for x in range(SERVERS) if self.in_flight[x] < SLOTS]
 
     def service_s(self, server: int, now: float) -> float:
-        """Return how long a request takes that starts now."""
-        time_s = BASE_S * SPEEDS[server] * self.random.uniform(0.7, 1.3)
+        """Return a random service time for a request that starts now."""
+        duration_s = BASE_S * TIME_FACTORS[server] * self.random.uniform(0.7, 1.3)
         if server == COLD_SERVER and now < COLD_S:
-            time_s *= COLD_FACTOR
-        return time_s * (1 + CROWDING * self.in_flight[server] / SLOTS)
+            duration_s *= COLD_FACTOR
+        return duration_s * (1 + CONTENTION * self.in_flight[server] / SLOTS)
 
 
 class RoundRobin:
-    """The next server with a free slot."""
+    """Choose the next server with a free slot in rotation."""
 
     def __init__(self) -> None:
         self.last = 0
@@ -96,27 +96,27 @@
                 return server
         return None
 
-    def finished(self, server: int, latency_s: float) -> None:
-        """Learn nothing."""
+    def record_end(self, server: int, latency_s: float) -> None:
+        """Ignore the end; the policy needs no latencies."""
 
 
 class TwoRandomChoices:
-    """The less loaded of two random servers, by own count and reported load."""
+    """Choose the less loaded of two random servers, by own and reported counts."""
 
     def choose(self, model: Model) -> int | None:
         """Return the less loaded of two servers with a free slot."""
-        free = model.free()
+        free = model.free_servers()
         if not free:
             return None
         pair = model.random.sample(free, min(2, len(free)))
         return min(pair, key=lambda x: model.in_flight[x] + model.reported[x])
 
-    def finished(self, server: int, latency_s: float) -> None:
-        """Learn nothing."""
+    def record_end(self, server: int, latency_s: float) -> None:
+        """Ignore the end; the policy needs no latencies."""
 
 
-class Chooser:
-    """The choice of the entry process."""
+class EntryPolicy:
+    """Choose a server as the entry process does."""
 
     def __init__(self, clock: ManualClock, random: Random, headroom_share: float):
         self.clock = clock
@@ -124,7 +124,7 @@
         ledger = SlotLedger("entry", 1, clock, 2.0, 5.0)
         ledger.set_roster(["entry"])
         ledger.set_servers({str(x): SLOTS for x in range(SERVERS)})
-        clock.advance(LEDGER_SETTLED_S)
+        clock.advance(LEDGER_SETTLE_S)
         ledger.tick()
         self.ledger = ledger
         self.admission = Admission(ledger, clock)
@@ -135,7 +135,7 @@
         )
 
     def choose(self, model: Model) -> int | None:
-        """Return the entry's choice and take the slot."""
+        """Return the entry's choice and acquire a slot there."""
         self.ledger.tick()
         views = tuple(
             evolve(view, reported_in_flight=count, reported_age_ms=REPORT_LAG_S * 1e3)
@@ -146,8 +146,8 @@
             return None
         return int(view.name)
 
-    def finished(self, server: int, latency_s: float) -> None:
-        """Give the slot back and learn the latency."""
+    def record_end(self, server: int, latency_s: float) -> None:
+        """Release the slot and record the latency."""
         name = str(server)
         self.admission.release(name, ServerResult.SUCCESS, latency_s)
         self.chooser.record_latency(name, latency_s)
@@ -156,54 +156,56 @@
 @define(order=True)
 class _Event:
     at: float
-    number: int
-    # A server whose request ends, or None for a change of the reports.
+    sequence: int
+    # The server whose request ends, or None for the arrival of a load report.
     server: int | None
     started: float = field(order=False, default=0.0)
     counts: list[int] | None = field(order=False, default=None)
 
 
 def run_model(
-    make: Callable[[ManualClock, Random], Policy], seed: int, arrivals: float = ARRIVALS
+    make_policy: Callable[[ManualClock, Random], Policy],
+    seed: int,
+    arrival_rate: float = ARRIVAL_RATE,
 ) -> ModelResult:
-    """Play random arrivals through one policy."""
+    """Simulate random arrivals under one policy."""
     clock = ManualClock()
     random = Random(seed)
-    policy = make(clock, Random(seed + 1))
+    policy = make_policy(clock, Random(seed + 1))
     model = Model(clock, random)
     origin = clock.monotonic()
     events: list[_Event] = []
     latencies: list[float] = []
     refused = 0
-    number = 0
-    now = random.expovariate(arrivals)
+    sequence = 0
+    now = random.expovariate(arrival_rate)
     next_report = 0.0
     while now < DURATION_S:
         while next_report <= now:
-            number += 1
+            sequence += 1
             lagged = _Event(
-                next_report + REPORT_LAG_S, number, None, counts=list(model.in_flight)
+                next_report + REPORT_LAG_S, sequence, None, counts=list(model.in_flight)
             )
             heappush(events, lagged)
             next_report += 0.5
         while events and events[0].at <= now:
-            _end(model, policy, heappop(events), origin, latencies)
+            _process_event(model, policy, heappop(events), origin, latencies)
         clock.now = origin + now
         server = policy.choose(model)
         if server is None:
             refused += 1
         else:
-            time_s = model.service_s(server, now)
+            duration_s = model.service_s(server, now)
             model.in_flight[server] += 1
-            model.busy_s[server] += time_s
-            number += 1
-            heappush(events, _Event(now + time_s, number, server, now))
-        now += random.expovariate(arrivals)
+            model.busy_s[server] += duration_s
+            sequence += 1
+            heappush(events, _Event(now + duration_s, sequence, server, now))
+        now += random.expovariate(arrival_rate)
     busy = model.busy_s
     return ModelResult(latencies, refused, max(busy) / (sum(busy) / SERVERS))
 
 
-def _end(
+def _process_event(
     model: Model, policy: Policy, event: _Event, origin: float, latencies: list[float]
 ) -> None:
     if event.server is None:
@@ -213,4 +215,4 @@
     model.in_flight[event.server] -= 1
     latency_s = event.at - event.started
     latencies.append(latency_s * 1000)
-    policy.finished(event.server, latency_s)
+    policy.record_end(event.server, latency_s)
--- a/bench/figures/configuration.py
+++ b/bench/figures/configuration.py
@@ -1,4 +1,4 @@
-"""The time from an accepted change of the rules to its being in force everywhere."""
+"""The time from the acceptance of a rules change until it is in force everywhere."""
 
 from collections.abc import Iterator
 from concurrent.futures import ThreadPoolExecutor
@@ -6,7 +6,7 @@
 
 from bench.deployments import blue_mahoe
 from bench.figures.figure import Figure
-from bench.figures.metrics_text import metric
+from bench.figures.metrics_text import read_metric
 from bench.fleet import Fleet, FleetOptions
 from bench.http_calls import call
 from bench.tables import percentile
@@ -23,7 +23,7 @@
 
 
 def rules_text(number: int) -> str:
-    """Return a rules text that differs with each number."""
+    """Return a rules text that differs for each number."""
     latency = 0.5 + number % 40 / 100
     return (
         "# Bench (measurement): change number "
@@ -31,8 +31,8 @@
     )
 
 
-def put_rules(fleet: Fleet, number: int) -> int:
-    """Change the rules over the administration API; return the revision."""
+def submit_rules(fleet: Fleet, number: int) -> int:
+    """Change the rules through the administration API; return the new revision."""
     admin = fleet.addresses.admin(fleet.plan.instances[0])
     base = call("GET", admin, "/v1/rules").body
     revision = int(base.split(b'"revision":', 1)[1].split(b",", 1)[0].strip(b" }"))
@@ -49,13 +49,13 @@
     return revision + 1
 
 
-def in_force_s(fleet: Fleet, revision: int) -> float:
-    """Return the seconds until every entry has a revision in force."""
+def wait_until_in_force(fleet: Fleet, revision: int) -> float:
+    """Wait until a revision is in force at every entry; return the seconds."""
     started = monotonic()
 
     def wait(instance: str) -> float:
         address = fleet.addresses.public(instance).listen
-        while metric(address, REVISION) < revision:
+        while read_metric(address, REVISION) < revision:
             if monotonic() - started > TIMEOUT_S:
                 raise TimeoutError(f"{instance} has no revision {revision}")
             sleep(POLL_S)
@@ -66,20 +66,23 @@
 
 
 def configuration(seed: int) -> Iterator[Figure]:
-    """Measure with all well, and with all but the store's domain cut from the store."""
+    """Measure without faults, then with only the store's domain connected to it."""
     with Fleet(blue_mahoe(), FleetOptions()) as fleet:
-        well = [in_force_s(fleet, put_rules(fleet, x)) for x in range(CHANGES)]
+        undisturbed = [
+            wait_until_in_force(fleet, submit_rules(fleet, x)) for x in range(CHANGES)
+        ]
         fleet.add_proxy_rules(*platform_cuts(fleet))
         sleep(1.0)
         cut = [
-            in_force_s(fleet, put_rules(fleet, CHANGES + x)) for x in range(CHANGES_CUT)
+            wait_until_in_force(fleet, submit_rules(fleet, CHANGES + x))
+            for x in range(CHANGES_CUT)
         ]
-    yield _figure("config_in_force", well, TARGET_S, seed)
+    yield _figure("config_in_force", undisturbed, TARGET_S, seed)
     yield _figure("config_in_force_cut", cut, TARGET_CUT_S, seed)
 
 
 def platform_cuts(fleet: Fleet) -> list[ProxyRule]:
-    """Return cuts between the store and every failure domain but its own."""
+    """Return rules that cut the store from every failure domain except its own."""
     return [
         ProxyRule(
             name=f"cut {domain.name} from the platform",
--- a/bench/figures/control_cost.py
+++ b/bench/figures/control_cost.py
@@ -1,12 +1,12 @@
-"""What a control process costs, at rest and under changes."""
+"""The resource use of a control process, at rest and under changes."""
 
 from collections.abc import Iterator
 from time import sleep
 
 from bench.deployments import DeploymentPlan, blue_mahoe, reduced
-from bench.figures.configuration import put_rules
+from bench.figures.configuration import submit_rules
 from bench.figures.figure import Figure, cpu_seconds, resident_bytes
-from bench.figures.metrics_text import metric
+from bench.figures.metrics_text import read_metric
 from bench.figures.small_fleet import control_pid
 from bench.fleet import Fleet, FleetOptions
 
@@ -20,32 +20,32 @@
 COUNTERS = ("peer_bytes_sent", "peer_bytes_received", "platform_calls")
 
 
-class Reading:
-    """The counters of all controls at one moment."""
+class CounterSnapshot:
+    """The counters of all control processes at one moment."""
 
     def __init__(self, fleet: Fleet):
         self.cpu = [cpu_seconds(control_pid(fleet, x)) for x in fleet.instances]
         self.counters = {
             name: [
-                metric(fleet.addresses.admin(x), f"ebonybend_control_{name}_total")
+                read_metric(fleet.addresses.admin(x), f"ebonybend_control_{name}_total")
                 for x in fleet.instances
             ]
             for name in COUNTERS
         }
 
 
-def costs(
+def measure_costs(
     fleet: Fleet, label: str, seconds: float, seed: int, changes: int = 0
 ) -> Iterator[Figure]:
-    """Measure the mean over all controls for a while."""
+    """Measure the resource use over a time, as a mean of all control processes."""
     count = len(fleet.instances)
-    before = Reading(fleet)
+    before = CounterSnapshot(fleet)
     for number in range(changes):
-        put_rules(fleet, number)
+        submit_rules(fleet, number)
         sleep(seconds / changes)
     if not changes:
         sleep(seconds)
-    after = Reading(fleet)
+    after = CounterSnapshot(fleet)
     cpu = (sum(after.cpu) - sum(before.cpu)) / seconds / count * 100
     yield Figure(
         f"control_cpu_{label}", cpu, "% of a core", CPU_TARGET, cpu / CPU_TARGET, seed
@@ -54,13 +54,13 @@
         (sum(after.counters[name]) - sum(before.counters[name])) / seconds / count
         for name in COUNTERS
     )
-    both = sent + received
+    total_bytes = sent + received
     yield Figure(
         f"control_bytes_{label}",
-        both,
+        total_bytes,
         "bytes/s",
         BYTES_TARGET,
-        both / BYTES_TARGET,
+        total_bytes / BYTES_TARGET,
         seed,
     )
     yield Figure(
@@ -83,20 +83,22 @@
     )
 
 
-def _sizes() -> dict[str, DeploymentPlan]:
-    whole = blue_mahoe()
+def _plans_by_size() -> dict[str, DeploymentPlan]:
+    plan = blue_mahoe()
     return {
-        "2_instances": reduced(whole, ("kingston-1",)),
-        "4_instances": reduced(whole, ("kingston-1", "montego-1", "mandeville-1")),
-        "7_instances": whole,
+        "2_instances": reduced(plan, ("kingston-1",)),
+        "4_instances": reduced(plan, ("kingston-1", "montego-1", "mandeville-1")),
+        "7_instances": plan,
     }
 
 
 def control_cost(seed: int) -> Iterator[Figure]:
-    """Measure fleets of three sizes at rest, and the largest under changes."""
-    for label, plan in _sizes().items():
+    """Measure fleets of three sizes at rest and the largest one under changes."""
+    for label, plan in _plans_by_size().items():
         with Fleet(plan, FleetOptions()) as fleet:
-            yield from costs(fleet, f"rest_{label}", REST_S, seed)
+            yield from measure_costs(fleet, f"rest_{label}", REST_S, seed)
             if len(fleet.instances) == len(blue_mahoe().instances):
                 changes = int(CHANGE_S * CHANGES_PER_S)
-                yield from costs(fleet, "60_changes_a_minute", CHANGE_S, seed, changes)
+                yield from measure_costs(
+                    fleet, "60_changes_a_minute", CHANGE_S, seed, changes
+                )
--- a/bench/figures/figure.py
+++ b/bench/figures/figure.py
@@ -1,4 +1,4 @@
-"""One measured figure and the reading of a process's use of the machine."""
+"""Measured figures, and the processor time and memory of a process."""
 
 import os
 from pathlib import Path
@@ -12,7 +12,7 @@
 
 @frozen
 class Figure:
-    """A measured value, with the baseline that was measured beside it."""
+    """A measured value and the baseline measured in the same run."""
 
     name: str
     value: float
@@ -22,7 +22,7 @@
     seed: int | None = None
 
 
-def compared(
+def compare_with_baseline(
     name: str,
     values: list[float],
     baselines: list[float],
@@ -37,12 +37,12 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    # Fields 14 and 15 of the file, user and system time, after the first two.
+    # The split omits the first two fields; user and system time are fields 14 and 15.
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def resident_bytes(pid: int) -> int:
-    """Return the memory that a process holds."""
+    """Return the resident memory of a process."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES
--- a/standins/backend_server.py
+++ b/standins/backend_server.py
@@ -109,6 +109,7 @@
         self.history = history
         self.random = Random(options.name)
         self.faults = ServerFaults()
+        # Number of answers that are still to be lost.
         self.lose_answers = 0
         self.in_flight = 0
         # The site that serves the requests; None until it listens.
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -80,6 +80,7 @@
         self.address = address
         self.store = ObjectStore(reactor)
         self.faults = PlatformFaults()
+        # Number of answers that are still to be lost.
         self.lose_answers = 0
         self.counts = CallCounts()
         self.hanging_calls: list[Deferred[None]] = []
