--- a/bench/figures/cap.py
+++ b/bench/figures/cap.py
@@ -18,8 +18,8 @@
 SERVICE = "ride-history"
 LOAD_S = 30.0
 RAMP_S = 12.0
-# A cap bounds the sends in 1 s. The window of their arrivals is shorter by the spread
-# of the latency.
+# Requests that arrive within this time were sent within 1 s, the window of the cap.
+# The difference is the spread of the latency.
 WINDOW_S = 0.95
 LOAD_SHAPE = LoadShape(read_rate=60.0, write_rate=2.0)
 TARGET_MEAN_USE = 0.85
--- a/bench/figures/choice_model.py
+++ b/bench/figures/choice_model.py
@@ -159,7 +159,7 @@
     sequence: int
     # The server whose request ends, or None for the arrival of a load report.
     server: int | None
-    started: float = field(order=False, default=0.0)
+    started_at: float = field(order=False, default=0.0)
     counts: list[int] | None = field(order=False, default=None)
 
 
@@ -213,6 +213,6 @@
         return
     model.clock.now = origin + event.at
     model.in_flight[event.server] -= 1
-    latency_s = event.at - event.started
+    latency_s = event.at - event.started_at
     latencies.append(latency_s * 1000)
     policy.record_end(event.server, latency_s)
--- a/bench/figures/lookup.py
+++ b/bench/figures/lookup.py
@@ -105,11 +105,11 @@
         instance = fleet.plan.instances[0]
         address = fleet.addresses.public(instance).listen
         pid = entry_pid(fleet, instance)
-        before = resident_bytes(pid)
+        bytes_before = resident_bytes(pid)
         write_client_map(fleet, seed)
         load_time_s = wait_for_client_map(fleet)
         yield Figure("lookup_map_loaded", load_time_s, "s", None, None, seed)
-        growth_mb = (resident_bytes(pid) - before) / MEGABYTE
+        growth_mb = (resident_bytes(pid) - bytes_before) / MEGABYTE
         yield Figure(
             "lookup_process_growth", growth_mb, "MB", 40.0, growth_mb / 40.0, seed
         )
@@ -127,9 +127,9 @@
 
 
 def wait_for_client_map(fleet: Fleet) -> float:
-    """Wait until the entry has loaded the whole client map; return the seconds."""
+    """Wait until the entry has loaded the complete client map; return the seconds."""
     log = fleet.directory / f"{fleet.plan.instances[0]}-entry.log"
-    whole = f'"bytes": {BLOCKS * BYTES_PER_BLOCK}'
+    loaded_event = f'"bytes": {BLOCKS * BYTES_PER_BLOCK}'
     return fleet.wait_until(
-        lambda: whole in log.read_text(), "the map is loaded", MAP_TIMEOUT_S
+        lambda: loaded_event in log.read_text(), "the map is loaded", MAP_TIMEOUT_S
     )
--- a/bench/figures/recovery.py
+++ b/bench/figures/recovery.py
@@ -19,13 +19,13 @@
 BEFORE_KILL_S = 12.0
 SERVICE_MS = 60.0
 TARGET_RECOVERY_S = 2.0
-# Requests are grouped by start time in steps of this length.
+# Length of the steps that group the requests by their start time.
 STEP_S = 0.25
 WHOLE_FRACTION = 0.99
 
 
 def recovery_s(operations: list[Operation], killed_at: float) -> float:
-    """Return the time from a kill until 99% of each later step get whole answers."""
+    """Return the time after a kill from which each step has 99% whole answers."""
     after = sorted(
         (x for x in operations if x.started_at >= killed_at), key=lambda x: x.started_at
     )
--- a/standins/echo.py
+++ b/standins/echo.py
@@ -41,28 +41,28 @@
     server: str, request_id: str, path: str, body: bytes, filler_bytes: int
 ) -> bytes:
     """Return the body of the answer to a request."""
-    payload = filler(request_id, min(filler_bytes, MAX_FILLER_BYTES))
+    filler_data = filler(request_id, min(filler_bytes, MAX_FILLER_BYTES))
     echo = Echo(
         server,
         request_id,
         path,
         body_checksum(body),
-        len(payload),
-        body_checksum(payload),
+        len(filler_data),
+        body_checksum(filler_data),
     )
-    return json.encode(echo) + b"\n" + payload
+    return json.encode(echo) + b"\n" + filler_data
 
 
 def read_answer(answer: bytes) -> Echo | None:
     """Return the echo of a complete answer, or None if it is damaged."""
-    header, _, payload = answer.partition(b"\n")
+    first_line, _, filler_data = answer.partition(b"\n")
     try:
-        echo = json.decode(header, type=Echo)
+        echo = json.decode(first_line, type=Echo)
     except (DecodeError, ValidationError):
         return None
     if (echo.filler_bytes, echo.filler_checksum) != (
-        len(payload),
-        body_checksum(payload),
+        len(filler_data),
+        body_checksum(filler_data),
     ):
         return None
     return echo
--- a/standins/proxy_flow.py
+++ b/standins/proxy_flow.py
@@ -33,7 +33,7 @@
 
 @frozen
 class _Chunk:
-    """Bytes to forward at a time; None is the end of the stream."""
+    """Bytes with the time to forward them; None is the end of the stream."""
 
     due_at: float
     data: bytes | None
@@ -91,11 +91,11 @@
         """Forward the chunks that are due and set a timer for the next one."""
         if self.effect.frozen or self.sink is None:
             return
-        now = self.reactor.seconds() + TIMER_SLACK_S
-        while self.queue and self.queue[0].due_at <= now:
+        due_until = self.reactor.seconds() + TIMER_SLACK_S
+        while self.queue and self.queue[0].due_at <= due_until:
             self._forward_chunk(self.queue.popleft())
         if self.queue and self.timer is None:
-            delay = max(self.queue[0].due_at - now, 0.0)
+            delay = max(self.queue[0].due_at - due_until, 0.0)
             self.timer = self.reactor.callLater(delay, self._timer_fired)
 
     def _timer_fired(self) -> None:
