--- a/bench/tests/test_caller.py
+++ b/bench/tests/test_caller.py
@@ -36,7 +36,7 @@
 
 
 class FakeHttp:
-    """Answer look-ups, and each request by the next of the results."""
+    """Answer lookups, and each request with the next of the given results."""
 
     def __init__(self, results):
         self.results = list(results)
@@ -57,23 +57,26 @@
 
 
 def perform(results, method="POST"):
-    """Perform one operation, with a clock that moves whenever the caller waits."""
+    """Perform one operation with a clock that advances while the client waits.
+
+    Return the operation's record and the requests that were sent.
+    """
     clock = Clock()
     load = RegionLoad("r", ("me",), ("127.0.0.1",), ("10.1.1.1",), ("a:1",), ())
-    caller = Caller(clock, load, 0)
-    caller.http = caller.lookups.http = FakeHttp(results)
+    client = Caller(clock, load, 0)
+    client.http = client.lookups.http = FakeHttp(results)
     traffic = Traffic("filing", method, 1.0, "/file", 60_000)
     body = b"x" if method == "POST" else b""
-    wanted = Wanted("op1", traffic, "/file?op=op1", body, monotonic())
-    done = []
-    Deferred.fromCoroutine(caller.perform(wanted)).addBoth(done.append)
-    while not done:
+    planned = Wanted("op1", traffic, "/file?op=op1", body, monotonic())
+    finished = []
+    Deferred.fromCoroutine(client.perform(planned)).addBoth(finished.append)
+    while not finished:
         clock.advance(0.1)
-    return done[0], caller.http.sent
+    return finished[0], client.http.sent
 
 
 class KeyTest(TestWithScenarios, TestCase):
-    """Guards against a caller that itself runs a write twice, or gives up early."""
+    """Guards against a client that causes a second run of a write or stops early."""
 
     scenarios = [
         (
--- a/bench/tests/test_caps.py
+++ b/bench/tests/test_caps.py
@@ -14,17 +14,22 @@
 from standins.platform import PlatformFaults
 from standins.proxy_rules import ProxyRule
 
-QUICK = ("--hold_ms=500", "--longest_deadline_ms=2000", "--lookup_lifetime_ms=1000")
+SHORT_TIMEOUT_FLAGS = (
+    "--hold_ms=500",
+    "--longest_deadline_ms=2000",
+    "--lookup_lifetime_ms=1000",
+)
 SERVICE = "ride-history"
 SOURCE, TARGET = "Kingston", "Montego"
 DOMAINS = ("kingston-1", "kingston-2", "montego-1")
+# The borrower leases units of the cap from the lenders.
 BORROWER, LENDERS = "kingston-2-a", ("kingston-1-a", "kingston-1-b")
 CAP, LOWERED_CAP, OVERFLOW_CAP = 20, 10, 10
-MEAN_PART = 0.85
-# A new rule's share is held back for 3.25 s and then ramps up for 10 s.
-FULL_AFTER_S = 13.5
+MIN_MEAN_FRACTION = 0.85
+# A new rule's traffic share is withheld for 3.25 s and then ramps up for 10 s.
+RAMP_END_S = 13.5
 STEADY_S = 4.0
-CUT_S = 3.0
+PARTITION_S = 3.0
 LOAD_S = 52.0
 # 16 slots at 50 ms answer 320 requests per second in Kingston, so that nothing
 # overflows; at twice that time they answer 160, and the overload overflows.
@@ -35,7 +40,7 @@
     read_rate=220.0, callers_per_region=3, regions=(SOURCE,), deadline_ms=1000
 )
 OVERLOAD_S = 7.0
-# Entries read the clock of a rule's end at each heartbeat, every 250 ms.
+# Entries compare a rule's end with the clock at each heartbeat, every 250 ms.
 END_SLACK_S = 0.5
 
 
@@ -54,12 +59,14 @@
 
 
 class CapTest(TestCase):
-    """Traffic moved between regions, counted where it arrives."""
+    """Traffic moved between regions, counted at the servers that receive it."""
 
     @classmethod
     def setUpClass(cls):
         super().setUpClass()
-        options = FleetOptions(daemon_flags=QUICK, cold_s=0.2, service_ms=SERVICE_MS)
+        options = FleetOptions(
+            daemon_flags=SHORT_TIMEOUT_FLAGS, cold_s=0.2, service_ms=SERVICE_MS
+        )
         plan = reduced(blue_mahoe(), DOMAINS, (SERVICE,))
         cls.fleet = Fleet(plan, options)
         cls.fleet.__enter__()
@@ -79,18 +86,22 @@
                 self.fleet.set_server_faults(server.name, faults)
 
     def partition_senders(self):
-        """Cut the borrower from its lenders, both ways."""
+        """Cut the links between the borrower and its lenders in both directions."""
         network = self.fleet.addresses.domain_network
-        one, two = network("kingston-1"), network("kingston-2")
+        lenders, borrower = network("kingston-1"), network("kingston-2")
         self.fleet.add_proxy_rules(
-            ProxyRule(name="cut there", source=one, target=two, action="cut"),
-            ProxyRule(name="cut back", source=two, target=one, action="cut"),
+            ProxyRule(
+                name="cut to borrower", source=lenders, target=borrower, action="cut"
+            ),
+            ProxyRule(
+                name="cut to lenders", source=borrower, target=lenders, action="cut"
+            ),
         )
-        sleep(CUT_S)
+        sleep(PARTITION_S)
         self.fleet.clear_proxy_rules()
 
     def disturb_senders(self):
-        """Partition, kill, restart and pause senders; the platform is down."""
+        """Partition senders; then kill, restart and pause some without the platform."""
         self.partition_senders()
         self.fleet.set_platform_faults(PlatformFaults(down="refuse"))
         self.fleet.kill_instance(LENDERS[1])
@@ -106,25 +117,27 @@
 
     def test_moved_traffic_stays_under_each_cap(self):
         load = play(self.fleet, SHAPE, LOAD_S)
-        first = self.apply(shift_rule(CAP))
-        sleep(FULL_AFTER_S + STEADY_S)
+        shifted_at = self.apply(shift_rule(CAP))
+        sleep(RAMP_END_S + STEADY_S)
         self.disturb_senders()
-        asked = monotonic()
-        lowered = self.apply(shift_rule(LOWERED_CAP))
+        lowering_at = monotonic()
+        lowered_at = self.apply(shift_rule(LOWERED_CAP))
         sleep(STEADY_S)
         end_time = time() + 3.0
         until = datetime.fromtimestamp(int(end_time), UTC)
         self.apply(shift_rule(LOWERED_CAP, until))
-        ended = monotonic() + int(end_time) - time()
-        sleep(max(ended + END_SLACK_S + 0.5 - monotonic(), 0.0))
-        last = self.apply(CAP_RULE)
+        ended_at = monotonic() + int(end_time) - time()
+        sleep(max(ended_at + END_SLACK_S + 0.5 - monotonic(), 0.0))
+        capped_at = self.apply(CAP_RULE)
         self.slow_down_source()
-        more = play(self.fleet, OVERLOAD, OVERLOAD_S, seed=2)
-        for played in (load, more):
-            played.wait()
-        self.check([load, more], first, asked, lowered, ended, last)
+        overload = play(self.fleet, OVERLOAD, OVERLOAD_S, seed=2)
+        for run in (load, overload):
+            run.wait()
+        self.check(
+            [load, overload], shifted_at, lowering_at, lowered_at, ended_at, capped_at
+        )
 
-    def check(self, loads, first, asked, lowered, ended, last):
+    def check(self, loads, shifted_at, lowering_at, lowered_at, ended_at, capped_at):
         report = check_run(self.fleet, loads)
         self.assertTrue(report.ok, report.examples)
         servers = [
@@ -133,15 +146,15 @@
         operations = [x for load in loads for x in load.operations()]
         events = read_server_events(self.fleet.server_histories())
         moved = moved_at(operations, events, (BORROWER, *LENDERS), servers)
-        steady = first + FULL_AFTER_S
+        steady = shifted_at + RAMP_END_S
         rate = len(between(moved, steady, steady + STEADY_S)) / STEADY_S
         peaks = {
-            "shift": most_in_window(between(moved, first, asked)).count,
-            "lowered": most_in_window(between(moved, lowered, ended)).count,
-            "after the end": len(between(moved, ended + END_SLACK_S, last)),
-            "cap": most_in_window(between(moved, last, float("inf"))).count,
+            "shift": most_in_window(between(moved, shifted_at, lowering_at)).count,
+            "lowered": most_in_window(between(moved, lowered_at, ended_at)).count,
+            "after the end": len(between(moved, ended_at + END_SLACK_S, capped_at)),
+            "cap": most_in_window(between(moved, capped_at, float("inf"))).count,
         }
-        overflow = len(between(moved, last, float("inf")))
+        overflow = len(between(moved, capped_at, float("inf")))
         print(f"moved: {peaks}, steady {rate:.1f}/s, overflow {overflow}")
         limits = {
             "shift": CAP,
@@ -149,7 +162,7 @@
             "after the end": 0,
             "cap": OVERFLOW_CAP,
         }
-        over = {x: peaks[x] for x in peaks if peaks[x] > limits[x]}
-        self.assertEqual({}, over)
-        self.assertGreater(rate, MEAN_PART * CAP)
+        exceeded = {x: peaks[x] for x in peaks if peaks[x] > limits[x]}
+        self.assertEqual({}, exceeded)
+        self.assertGreater(rate, MIN_MEAN_FRACTION * CAP)
         self.assertGreater(overflow, 3 * OVERFLOW_CAP)
