--- a/bench/tests/test_configuration.py
+++ b/bench/tests/test_configuration.py
@@ -18,16 +18,20 @@
 from standins.platform import PlatformFaults
 from standins.proxy_rules import ProxyRule
 
-QUICK = ("--hold_ms=500", "--longest_deadline_ms=2000", "--lookup_lifetime_ms=1000")
+SHORT_TIMEOUT_FLAGS = (
+    "--hold_ms=500",
+    "--longest_deadline_ms=2000",
+    "--lookup_lifetime_ms=1000",
+)
 DOMAINS = ("kingston-1", "montego-1", "mandeville-1")
 WATCHER, WRITER = "kingston-1-a", "kingston-1-b"
-FAR, OTHER = "mandeville-1-a", "montego-1-a"
+REMOTE, RESTARTED = "mandeville-1-a", "montego-1-a"
 IN_FORCE_S = 5.0
-# Processes start in this time on a busy machine; it is not part of the promise.
-START_S = 20.0
+# Start-up time on a busy machine; it is not part of the time limit for rules.
+START_TIMEOUT_S = 20.0
 ROUNDS = 5
-HINDERED_S = 3.0
-OLDER_SHOWN_S = 2.0
+FAULT_S = 3.0
+OLDER_OBJECT_S = 2.0
 
 
 def rules(latency, comment="test"):
@@ -38,12 +42,12 @@
 
 
 class ConfigurationTest(TestCase):
-    """Rules that operators change, in force on every instance."""
+    """Rules that operators change, and their entry into force on every instance."""
 
     @classmethod
     def setUpClass(cls):
         super().setUpClass()
-        options = FleetOptions(daemon_flags=QUICK, cold_s=0.2)
+        options = FleetOptions(daemon_flags=SHORT_TIMEOUT_FLAGS, cold_s=0.2)
         cls.fleet = Fleet(reduced(blue_mahoe(), DOMAINS), options)
         cls.fleet.__enter__()
         cls.addClassCleanup(cls.fleet.__exit__)
@@ -51,16 +55,16 @@
 
     def setUp(self):
         super().setUp()
-        self.addCleanup(self.heal)
+        self.addCleanup(self.remove_faults)
         self.watch = RevisionWatch(self.fleet)
         self.watch.__enter__()
         self.addCleanup(self.watch.__exit__)
 
-    def heal(self):
+    def remove_faults(self):
         self.fleet.clear_proxy_rules()
         self.fleet.set_platform_faults(PlatformFaults())
         ready = self.fleet.instances_ready
-        self.fleet.wait_until(ready, "instances are ready", START_S)
+        self.fleet.wait_until(ready, "instances are ready", START_TIMEOUT_S)
         newest = self.stored().revision
         self.fleet.wait_until(lambda: self.all_have(newest), "revisions are equal")
 
@@ -72,15 +76,15 @@
         return from_json(from_json(answer.body, StoredObject).value, RulesObject)
 
     def all_have(self, revision):
-        found = [entry_revision(self.fleet, x) or 0 for x in self.fleet.instances]
-        return min(found) >= revision
+        revisions = [entry_revision(self.fleet, x) or 0 for x in self.fleet.instances]
+        return min(revisions) >= revision
 
     def next_rules(self):
         type(self).number += 1
         return rules(type(self).number / 100)
 
     def apply(self, instance=WRITER):
-        """Accept new rules by the administration API; return revision and time."""
+        """Apply new rules through the administration API; return revision and time."""
         admin = self.fleet.addresses.admin(instance)
         headers = {
             "If-Match": f'"{current_rules(admin).revision}"',
@@ -93,7 +97,7 @@
         return from_json(answer.body, ApplyAnswer).revision, monotonic()
 
     def assert_in_force(self, revision, accepted_at, names=None):
-        """Check that instances show a revision in time and none has gone back."""
+        """Check that instances report a revision in time and no revision falls."""
         slowest = 0.0
         for name in names or self.fleet.instances:
             process = f"{name}-entry"
@@ -115,47 +119,49 @@
             )
             self.fleet.add_proxy_rules(rule)
 
-    def networks(self, *domains):
+    def domain_networks(self, *domains):
         return [self.fleet.addresses.domain_network(x) for x in domains]
 
     def test_in_force_in_time(self):
-        # Guards against a revision that waits for a poll of the platform.
+        # Guards against a revision that instances get only by polling the platform.
         self.assert_in_force(*self.apply())
 
     def test_in_force_without_any_watch(self):
-        # Guards against instances that learn of rules from the platform alone.
+        # Guards against instances that receive rules only from the platform.
         watcher = f"{self.fleet.addresses.instance_host(WATCHER)}:"
-        self.cut_from_platform(watcher, *self.networks("montego-1", "mandeville-1"))
+        self.cut_from_platform(
+            watcher, *self.domain_networks("montego-1", "mandeville-1")
+        )
         self.assert_in_force(*self.apply())
         self.assert_in_force(*self.apply())
 
     def test_in_force_on_a_restarting_instance(self):
         # Guards against a new incarnation that serves with older rules.
         self.assert_in_force(*self.apply())
-        self.cut_from_platform(*self.networks("montego-1"))
-        self.fleet.kill_instance(OTHER)
-        self.fleet.restart_instance(OTHER)
-        others = [x for x in self.fleet.instances if x != OTHER]
+        self.cut_from_platform(*self.domain_networks("montego-1"))
+        self.fleet.kill_instance(RESTARTED)
+        self.fleet.restart_instance(RESTARTED)
+        others = [x for x in self.fleet.instances if x != RESTARTED]
         revision, accepted_at = self.apply()
         self.assert_in_force(revision, accepted_at, others)
         ready = self.fleet.instance_ready
-        self.fleet.wait_until(lambda: ready(OTHER), "the new incarnation is ready")
-        self.assert_in_force(revision, monotonic(), [OTHER])
+        self.fleet.wait_until(lambda: ready(RESTARTED), "the new incarnation is ready")
+        self.assert_in_force(revision, monotonic(), [RESTARTED])
 
     def test_older_object_of_the_platform_is_not_taken(self):
-        # Guards against a platform that was restored from an older state.
+        # Guards against older rules after the platform is restored from a backup.
         self.assert_in_force(*self.apply())
         older = self.stored()
         revision, accepted_at = self.apply()
         self.assert_in_force(revision, accepted_at)
         self.fleet.write_object("rules", "main", older)
-        sleep(OLDER_SHOWN_S)
-        self.fleet.kill_role(FAR, "control")
-        self.fleet.processes.restart(f"{FAR}-control")
+        sleep(OLDER_OBJECT_S)
+        self.fleet.kill_role(REMOTE, "control")
+        self.fleet.processes.restart(f"{REMOTE}-control")
         self.fleet.kill_instance(WATCHER)
         self.fleet.restart_instance(WATCHER)
         ready = self.fleet.instances_ready
-        self.fleet.wait_until(ready, "instances are ready", START_S)
+        self.fleet.wait_until(ready, "instances are ready", START_TIMEOUT_S)
         self.assert_in_force(revision, monotonic())
         later, accepted_at = self.apply()
         self.assertGreater(later, revision)
@@ -165,7 +171,7 @@
         # Guards against an edit that silently replaces another one.
         for number in range(ROUNDS):
             base = self.stored().revision
-            runs = self.edit_at_once(base)
+            runs = self.edit_simultaneously(base)
             found = self.stored()
             self.assertEqual(base + 1, found.revision)
             statuses = sorted(x.status for x in runs.values())
@@ -173,21 +179,21 @@
             winner = next(x for x in runs if runs[x].status == 0)
             loser = next(x for x in runs if runs[x].status == 1)
             self.assertEqual(winner, found.author)
-            told = f"conflict: revision {base + 1} by {winner}"
-            self.assertIn(told, runs[loser].output)
+            message = f"conflict: revision {base + 1} by {winner}"
+            self.assertIn(message, runs[loser].output)
         self.assertEqual([], self.watch.falls)
 
-    def edit_at_once(self, base):
+    def edit_simultaneously(self, base):
         runs = {}
 
         def edit(author, instance, text):
             path = self.fleet.directory / f"{author}.rules"
             path.write_text(text)
             arguments = (f"--author={author}", "--why=test", f"--base={base}")
-            asked = (instance,)
-            runs[author] = tool(self.fleet, asked, "apply", str(path), *arguments)
+            instances = (instance,)
+            runs[author] = tool(self.fleet, instances, "apply", str(path), *arguments)
 
-        edits = (("Ana", WATCHER), ("Eva", FAR))
+        edits = (("Ana", WATCHER), ("Eva", REMOTE))
         threads = [
             Thread(target=edit, args=(*x, self.next_rules() + f"# by {x[0]}\n"))
             for x in edits
@@ -214,44 +220,46 @@
         self.assertEqual(1, ids.count(after.change_id))
 
     def test_in_force_is_not_said_while_an_entry_is_paused(self):
-        # Guards against a report that rests on acceptance or on the control's word.
-        process = f"{FAR}-entry"
+        # Guards against a report based on acceptance or on the control, not on entries.
+        process = f"{REMOTE}-entry"
         self.fleet.processes.signal(process, signal.SIGSTOP)
         resume = (process, signal.SIGCONT)
         self.addCleanup(self.fleet.processes.signal, *resume)
         self.check_report(lambda: self.fleet.processes.signal(*resume))
 
     def test_in_force_is_not_said_while_a_domain_is_cut_off(self):
-        # Guards against a report that passes over an instance out of reach.
-        network = self.networks("mandeville-1")[0]
+        # Guards against a report that ignores an unreachable instance.
+        network = self.domain_networks("mandeville-1")[0]
         self.fleet.add_proxy_rules(
             ProxyRule(name="out", source=network, action="cut"),
             *(
                 ProxyRule(name=f"in {x}", source=x, target=network, action="cut")
-                for x in self.networks("kingston-1", "montego-1")
+                for x in self.domain_networks("kingston-1", "montego-1")
             ),
         )
         self.check_report(self.fleet.clear_proxy_rules)
 
-    def check_report(self, heal):
-        """Apply rules while an entry can't get them, and heal while the tool waits."""
+    def check_report(self, remove_faults):
+        """Apply rules that an entry lacks; remove the fault while the tool waits."""
         path = self.fleet.directory / "report.rules"
         path.write_text(self.next_rules())
         base = self.stored().revision
-        runs = []
+        results = []
 
         def apply():
             arguments = ("--author=Ana", "--why=test", f"--base={base}", "--wait=15")
-            runs.append(tool(self.fleet, (WRITER,), "apply", str(path), *arguments))
+            results.append(tool(self.fleet, (WRITER,), "apply", str(path), *arguments))
 
         thread = Thread(target=apply)
         thread.start()
-        sleep(HINDERED_S)
-        healed_at = monotonic()
-        heal()
+        sleep(FAULT_S)
+        removed_at = monotonic()
+        remove_faults()
         thread.join()
-        self.assertEqual(0, runs[0].status, runs[0].output)
-        self.assertGreater(runs[0].ended_at, healed_at, "said while hindered")
+        self.assertEqual(0, results[0].status, results[0].output)
+        self.assertGreater(results[0].ended_at, removed_at, "reported during the fault")
         for name in self.fleet.instances:
             lacked = self.watch.lacked(f"{name}-entry", base + 1)
-            self.assertGreater(runs[0].ended_at, lacked, f"said too early for {name}")
+            self.assertGreater(
+                results[0].ended_at, lacked, f"reported too early for {name}"
+            )
--- a/bench/tests/test_cut_off.py
+++ b/bench/tests/test_cut_off.py
@@ -12,23 +12,27 @@
 from standins.platform import PlatformFaults
 from standins.proxy_rules import ProxyRule
 
-QUICK = ("--hold_ms=500", "--longest_deadline_ms=2000", "--lookup_lifetime_ms=1000")
+SHORT_TIMEOUT_FLAGS = (
+    "--hold_ms=500",
+    "--longest_deadline_ms=2000",
+    "--lookup_lifetime_ms=1000",
+)
 DOMAINS = ("kingston-1", "montego-1")
-READS, WRITES = "ride-history", "sign-off-filing"
-FIRST, KILLED, FAR = "kingston-1-a", "kingston-1-b", "montego-1-a"
+READ_SERVICE, WRITE_SERVICE = "ride-history", "sign-off-filing"
+LOCAL, KILLED, REMOTE = "kingston-1-a", "kingston-1-b", "montego-1-a"
 SERVICE_MS = 60.0
-MODERATE = LoadShape(read_rate=20.0, write_rate=8.0, callers_per_region=4)
+MODERATE_LOAD = LoadShape(read_rate=20.0, write_rate=8.0, callers_per_region=4)
 # 9 slots in Kingston at 60 ms answer 150 reads per second; the rest overflows.
-OVERFLOWING = LoadShape(
+OVERFLOW_LOAD = LoadShape(
     read_rate=200.0,
     write_rate=0.0,
     callers_per_region=4,
     deadline_ms=1000,
     regions=("Kingston",),
 )
-CUT_S = 3.0
-# Requests that are in flight when a fault begins may fail, and reads that find a
-# silent instance wait for half of their 2 s; after that, callers know.
+CUT_DURATION_S = 3.0
+# Requests that are in flight when a fault begins may fail, and reads sent to a silent
+# instance wait for half of their 2 s deadline; after that, clients avoid it.
 RECOVERY_LIMIT_S = 3.0
 # The design's target for accepted rules on reachable instances.
 CONVERGE_LIMIT_S = 5.0
@@ -38,9 +42,9 @@
 # adds the requests of one more.
 SENDERS = 2
 ROUNDS_PER_S = 7
-MOST_IN_FIRST_SECOND = SENDERS * sum(range(1, ROUNDS_PER_S + 2))
-SHORT_S = 0.3
-MOST_AT_FIRST = SENDERS * sum(range(1, 4))
+MAX_IN_FIRST_SECOND = SENDERS * sum(range(1, ROUNDS_PER_S + 2))
+FIRST_ROUNDS_S = 0.3
+MAX_IN_FIRST_ROUNDS = SENDERS * sum(range(1, 4))
 
 RULE = (
     "# Ben (operations): export is abused\n"
@@ -54,13 +58,15 @@
     @classmethod
     def setUpClass(cls):
         super().setUpClass()
-        options = FleetOptions(daemon_flags=QUICK, cold_s=0.2, service_ms=SERVICE_MS)
-        plan = reduced(blue_mahoe(), DOMAINS, (READS, WRITES))
+        options = FleetOptions(
+            daemon_flags=SHORT_TIMEOUT_FLAGS, cold_s=0.2, service_ms=SERVICE_MS
+        )
+        plan = reduced(blue_mahoe(), DOMAINS, (READ_SERVICE, WRITE_SERVICE))
         cls.fleet = Fleet(plan, options)
         cls.fleet.__enter__()
         cls.addClassCleanup(cls.fleet.__exit__)
 
-    def assert_sound(self, load):
+    def assert_no_violation(self, load):
         report = check_run(self.fleet, [load])
         self.assertTrue(report.ok, report.examples)
         print(report.line(), end=" ")
@@ -71,12 +77,12 @@
         print(f"{name}: {found}")
         self.assertLess(found.seconds, RECOVERY_LIMIT_S)
 
-    def ready(self, name):
+    def wait_until_serving(self, name):
         self.fleet.wait_until(lambda: self.fleet.instance_ready(name), f"{name} ready")
         self.fleet.wait_until(lambda: self.fleet.instance_serves(name), "it serves")
 
     def cut(self, domain):
-        """Cut a domain off from other domains; its own callers still reach it."""
+        """Cut a domain off from other domains; its own clients still reach it."""
         networks = self.fleet.addresses.domain_network
         own = networks(domain)
         rules = []
@@ -91,63 +97,63 @@
     def apply(self, number):
         path = self.fleet.directory / "refuse.rules"
         path.write_text(RULE.format(number=number))
-        admin = self.fleet.addresses.admin(FIRST)
+        admin = self.fleet.addresses.admin(LOCAL)
         apply_rules(admin, path, "Ben (operations)", "test of convergence")
 
     def test_1_reads_don_t_wait_for_a_paused_instance(self):
-        load = play(self.fleet, MODERATE, 6.0, seed=1)
+        load = play(self.fleet, MODERATE_LOAD, 6.0, seed=1)
         sleep(1.5)
         self.fleet.pause_instance(KILLED)
         sleep(3.0)
         self.fleet.resume_instance(KILLED)
         load.wait()
-        self.assert_sound(load)
+        self.assert_no_violation(load)
         reads = [x for x in load.operations() if x.method == "GET"]
         failed = [x for x in reads if x.result != "whole"]
         self.assertLessEqual(len(failed), 0.01 * len(reads), failed[:3])
 
     def test_2_requests_are_whole_soon_after_a_kill(self):
-        for seed, name in ((2, KILLED), (3, FAR)):
-            load = play(self.fleet, MODERATE, 6.0, seed)
+        for seed, name in ((2, KILLED), (3, REMOTE)):
+            load = play(self.fleet, MODERATE_LOAD, 6.0, seed)
             sleep(1.5)
             killed_at = monotonic()
             self.fleet.kill_instance(name)
             load.wait()
-            self.assert_sound(load)
+            self.assert_no_violation(load)
             self.assert_recovered(load, killed_at, f"killed {name}")
             self.fleet.restart_instance(name)
-            self.ready(name)
+            self.wait_until_serving(name)
 
     def test_3_instances_start_and_serve_without_the_platform(self):
         self.fleet.set_platform_faults(PlatformFaults(down="refuse"))
-        load = play(self.fleet, MODERATE, 8.0, seed=4)
+        load = play(self.fleet, MODERATE_LOAD, 8.0, seed=4)
         sleep(1.0)
         killed_at = monotonic()
         self.fleet.kill_instance(KILLED)
         sleep(0.5)
         self.fleet.restart_instance(KILLED)
-        self.ready(KILLED)
+        self.wait_until_serving(KILLED)
         load.wait()
         self.fleet.set_platform_faults(PlatformFaults())
-        self.assert_sound(load)
+        self.assert_no_violation(load)
         self.assert_recovered(load, killed_at, "killed without the platform")
 
     def test_4_a_domain_serves_while_cut_off_and_returns_without_a_surge(self):
         self.apply(1)
-        near = play(self.fleet, OVERFLOWING, 10.0, seed=5)
-        far = LoadShape(read_rate=20.0, write_rate=8.0, regions=("Montego",))
-        load = play(self.fleet, far, 10.0, seed=6)
+        overflow = play(self.fleet, OVERFLOW_LOAD, 10.0, seed=5)
+        remote_shape = LoadShape(read_rate=20.0, write_rate=8.0, regions=("Montego",))
+        load = play(self.fleet, remote_shape, 10.0, seed=6)
         sleep(2.0)
         self.cut("montego-1")
         cut_at = monotonic()
-        sleep(CUT_S)
+        sleep(CUT_DURATION_S)
         healed_at = monotonic()
         self.fleet.clear_proxy_rules()
         self.apply(2)
         applied_s = monotonic() - healed_at
-        for played in (near, load):
-            played.wait()
-            self.assert_sound(played)
+        for run in (overflow, load):
+            run.wait()
+            self.assert_no_violation(run)
         revisions = {
             current_rules(self.fleet.addresses.admin(x)).revision
             for x in self.fleet.instances
@@ -155,32 +161,32 @@
         self.assertEqual(1, len(revisions))
         self.assertLess(applied_s, CONVERGE_LIMIT_S)
         self.check_local(load, cut_at, healed_at)
-        self.check_growth(near, cut_at, healed_at)
+        self.check_ramp_up(overflow, cut_at, healed_at)
 
     def check_local(self, load, cut_at, healed_at):
-        """The domain's own callers are answered while it is cut off."""
-        inside = [x for x in load.operations() if cut_at < x.started_at < healed_at]
-        failed = [x for x in inside if x.result != "whole"]
-        print(f"cut off: {len(failed)} of {len(inside)} not whole", end=" ")
-        self.assertLessEqual(len(failed), 0.05 * len(inside), failed[:3])
-
-    def check_growth(self, load, cut_at, healed_at):
-        """The traffic to the returned domain grows step by step."""
+        """Check that the domain's own clients are answered while it is cut off."""
+        during_cut = [x for x in load.operations() if cut_at < x.started_at < healed_at]
+        failed = [x for x in during_cut if x.result != "whole"]
+        print(f"cut off: {len(failed)} of {len(during_cut)} not whole", end=" ")
+        self.assertLessEqual(len(failed), 0.05 * len(during_cut), failed[:3])
+
+    def check_ramp_up(self, load, cut_at, healed_at):
+        """Check that the traffic to the reconnected domain ramps up gradually."""
         servers = [
             x.name for x in self.fleet.plan.servers if "mont" in x.failure_domain
         ]
         events = read_server_events(self.fleet.server_histories())
-        moved = moved_at(load.operations(), events, (FIRST, KILLED), servers)
-        returned = min(between(moved, healed_at, healed_at + 4), default=None)
-        self.assertIsNotNone(returned, "no traffic after the cut")
+        moved = moved_at(load.operations(), events, (LOCAL, KILLED), servers)
+        resumed_at = min(between(moved, healed_at, healed_at + 4), default=None)
+        self.assertIsNotNone(resumed_at, "no traffic after the cut")
         counts = [
-            len(between(moved, returned + x / 2, returned + (x + 1) / 2))
+            len(between(moved, resumed_at + x / 2, resumed_at + (x + 1) / 2))
             for x in range(4)
         ]
         before = len(between(moved, cut_at - 1, cut_at))
-        print(f"back after {returned - healed_at:.2f} s, per half second {counts}")
+        print(f"back after {resumed_at - healed_at:.2f} s, per half second {counts}")
         print(f"in the second before the cut {before}")
-        first = len(between(moved, returned, returned + SHORT_S))
-        self.assertLessEqual(first, MOST_AT_FIRST)
-        self.assertLessEqual(sum(counts[:2]), MOST_IN_FIRST_SECOND)
+        first = len(between(moved, resumed_at, resumed_at + FIRST_ROUNDS_S))
+        self.assertLessEqual(first, MAX_IN_FIRST_ROUNDS)
+        self.assertLessEqual(sum(counts[:2]), MAX_IN_FIRST_SECOND)
         self.assertGreater(sum(counts), 0)
--- a/bench/tests/test_history.py
+++ b/bench/tests/test_history.py
@@ -5,32 +5,34 @@
 from standins.server_history import ServerEvent
 
 
-def operation(result, attempts=("answered",), method="POST", fault=""):
-    tried = tuple(
+def operation(result, attempt_results=("answered",), method="POST", fault=""):
+    records = tuple(
         Attempt(1.0, f"op1.{number}", "a", "k", outcome)
-        for number, outcome in enumerate(attempts, 1)
+        for number, outcome in enumerate(attempt_results, 1)
     )
     path = "/file?op=op1"
     return Operation(
-        "op1", "c", "r", "s", method, path, 1.0, 2.0, 2000, result, tried, fault
+        "op1", "c", "r", "s", method, path, 1.0, 2.0, 2000, result, records, fault
     )
 
 
-def event(kind="started", request_id="op1.1", server="s1", at=1.5, in_flight=1):
+def event(event_name="started", request_id="op1.1", server="s1", at=1.5, in_flight=1):
     path = "/file?op=op1"
     return ServerEvent(
-        at, server, 1, kind, request_id, "k", "f", "POST", path, in_flight, 3
+        at, server, 1, event_name, request_id, "k", "f", "POST", path, in_flight, 3
     )
 
 
 class HistoryTest(TestCase):
+    """Guards against checks of a run that miss a violation or report a false one."""
+
     def test_one_run_of_an_answered_write_is_no_fault(self):
         report = check([operation("whole")], [event(), event("finished")])
         self.assertTrue(report.ok)
         self.assertEqual((1, 1), (report.sent, report.whole))
 
-    def assert_found(self, fault, operations, events, leaving=None):
-        report = check(operations, events, leaving)
+    def assert_found(self, fault, operations, events, leaving_since=None):
+        report = check(operations, events, leaving_since)
         self.assertEqual(1, getattr(report, fault))
         self.assertFalse(report.ok)
 
--- a/bench/tests/test_leaving.py
+++ b/bench/tests/test_leaving.py
@@ -18,26 +18,27 @@
 from standins.platform import PlatformFaults
 
 DOMAINS = ("kingston-1", "montego-1")
-# Requests last longer than usual, so that some are in flight when a server leaves.
+# Requests run longer than usual, so that some are in flight when a server leaves.
 SERVICE_MS = 150.0
-LIFETIME_S = 2.0
-FLAGS = (
+LOOKUP_LIFETIME_S = 2.0
+DAEMON_FLAGS = (
     "--hold_ms=500",
     "--longest_deadline_ms=2000",
-    f"--lookup_lifetime_ms={LIFETIME_S * 1000:.0f}",
+    f"--lookup_lifetime_ms={LOOKUP_LIFETIME_S * 1000:.0f}",
 )
-OPTIONS = FleetOptions(daemon_flags=FLAGS, cold_s=0.2, service_ms=SERVICE_MS)
+OPTIONS = FleetOptions(daemon_flags=DAEMON_FLAGS, cold_s=0.2, service_ms=SERVICE_MS)
 SHAPE = LoadShape(read_rate=10.0, write_rate=5.0)
-# Without the stopping instance's slots there is room for this load at any moment, so
-# that a refusal has no other cause than the stop.
+# The slots of the other instances always suffice for this load, so that only the stop
+# can cause a refusal.
 LIGHT_SHAPE = LoadShape(read_rate=5.0, write_rate=3.0)
 LIST_LAG_S = 30.0
+# Servers that leave by their health report, by a drain rule and by the list alone.
 BY_HEALTH, BY_RULE, BY_LIST = "ride-history-01", "ride-history-02", "ride-history-05"
 SEED = 21
 
 
 class LeavingTest(TestCase):
-    """Guards against new work on what leaves, and against cutting off old work."""
+    """Guards against new work on a leaving server or instance, and cancelled work."""
 
     @classmethod
     def setUpClass(cls):
@@ -55,7 +56,7 @@
         leaving = {BY_HEALTH: monotonic()}
         self.fleet.set_server_faults(BY_HEALTH, ServerFaults(draining=True))
         self.fleet.list_server(BY_HEALTH, LifeState.LEAVING)
-        # The tool's own start is part of the 3 s.
+        # The start-up time of the tool counts towards the limit of 3 s.
         leaving[BY_RULE] = monotonic()
         self.drain_by_rule(BY_RULE)
         sleep(max(leaving.values()) + LEAVING_LIMIT_S + 0.5 - monotonic())
@@ -66,13 +67,13 @@
         events = self.events()
         report = check(load.operations(), events, leaving)
         for server, since in leaving.items():
-            self.report_server(server, since, events)
-        errors = [
+            self.check_server(server, since, events)
+        failures = [
             (x.result, x.started_at - leaving[BY_HEALTH], [a.error for a in x.attempts])
             for x in load.operations()
             if x.result != "whole"
         ]
-        print(f"leaving: {report.line()}", errors, file=sys.stderr)
+        print(f"leaving: {report.line()}", failures, file=sys.stderr)
         self.assertTrue(report.ok, f"{report.line()} {report.examples}")
 
     def drain_by_rule(self, server):
@@ -86,12 +87,20 @@
             "--backend",
         )
 
-    def report_server(self, server, since, events):
-        own = [x for x in events if x.server == server]
-        before = [x for x in own if x.event == "received" and x.at < since]
-        after = [x.at - since for x in own if x.event == "received" and x.at >= since]
-        ended = [x.at - since for x in own if x.event == "finished" and x.at >= since]
-        cut_off = [x for x in own if x.event == "cancelled"]
+    def check_server(self, server, since, events):
+        server_events = [x for x in events if x.server == server]
+        before = [x for x in server_events if x.event == "received" and x.at < since]
+        after = [
+            x.at - since
+            for x in server_events
+            if x.event == "received" and x.at >= since
+        ]
+        ended = [
+            x.at - since
+            for x in server_events
+            if x.event == "finished" and x.at >= since
+        ]
+        cut_off = [x for x in server_events if x.event == "cancelled"]
         print(
             f"{server}: {len(before)} requests before, {len(after)} after, the last at "
             f"{max(after, default=0):.2f} s, empty after {max(ended, default=0):.2f} s",
@@ -103,34 +112,34 @@
     def test_planned_stop_under_load(self):
         load = play(self.fleet, LIGHT_SHAPE, 6.5, SEED)
         sleep(1.5)
-        instance = self.preferred()
-        drained = self.stop(instance)
+        instance = self.preferred_instance()
+        drained_s = self.stop(instance)
         load.wait()
         report = check(load.operations(), self.events())
         attempts = [a for x in load.operations() for a in x.attempts]
-        errors = [a for a in attempts if a.result != "answered"]
+        failed_attempts = [a for a in attempts if a.result != "answered"]
         cut_off = [x for x in self.events() if x.event == "cancelled"]
-        used = sum(a.instance == instance for a in attempts)
+        used_count = sum(a.instance == instance for a in attempts)
         print(
-            f"planned stop: {report.line()}, {used} requests to the instance, "
-            f"drained in {drained:.2f} s",
+            f"planned stop: {report.line()}, {used_count} requests to the instance, "
+            f"drained in {drained_s:.2f} s",
             file=sys.stderr,
         )
         self.assertTrue(report.ok, f"{report.line()} {report.examples}")
-        self.assertEqual([], errors)
+        self.assertEqual([], failed_attempts)
         self.assertEqual([], cut_off)
         self.assertEqual(report.sent, report.whole, report.line())
-        self.assertGreater(used, 5)
+        self.assertGreater(used_count, 5)
 
-    def preferred(self):
-        """Return the instance that the callers of Kingston use."""
+    def preferred_instance(self):
+        """Return the instance that the clients in Kingston use."""
         address = self.fleet.addresses.public("kingston-1-a").listen
         client = f"{self.fleet.addresses.caller_network('Kingston')}1"
         answer = must_call("GET", address, f"/v1/lookup?client={client}")
         return from_json(answer, LookupAnswer).instances[0].name
 
     def stop(self, instance):
-        """Stop an instance; return the seconds until its entry has ended."""
+        """Stop an instance; return the seconds until its entry exits."""
         started = monotonic()
         statuses = {}
         stopping = Thread(
@@ -138,7 +147,7 @@
         )
         stopping.start()
         self.fleet.processes.wait(f"{instance}-entry", 30.0)
-        drained = monotonic() - started
+        drained_s = monotonic() - started
         stopping.join()
         self.assertEqual({0}, set(statuses.values()), statuses)
-        return drained
+        return drained_s
--- a/bench/tests/test_overload.py
+++ b/bench/tests/test_overload.py
@@ -10,19 +10,25 @@
 from standins.backend_server import ServerFaults
 from standins.proxy_rules import ProxyRule
 
-QUICK = ("--hold_ms=500", "--longest_deadline_ms=2000", "--lookup_lifetime_ms=1000")
+SHORT_TIMEOUT_FLAGS = (
+    "--hold_ms=500",
+    "--longest_deadline_ms=2000",
+    "--lookup_lifetime_ms=1000",
+)
 DOMAINS = ("kingston-1", "montego-1")
-READS, WRITES = "ride-history", "sign-off-filing"
+READ_SERVICE, WRITE_SERVICE = "ride-history", "sign-off-filing"
 SERVICE_S = 0.5
 WARM_UP_S = 2.0
-USEFUL_PART = 0.95
-# Two regions' one-way latency is 55 ms, a caller's 8 ms. Three sends to another region
-# and a caller's way to another region and back; a busy machine adds to it.
+MIN_USEFUL_FRACTION = 0.95
+# The one-way latency is 55 ms between regions and 8 ms for a client. The limit allows
+# three sends to another region, a client's round trip to another region, and a margin
+# for a busy machine.
 REFUSAL_LIMIT_S = 3 * 0.11 + 0.126 + 0.1
-REFUSAL_PART = 0.95
-MOST_CONNECTIONS = 300
-# Silence of the hold, the longest deadline and 0.5 s, while the port refuses for the
-# longest deadline and 0.5 s; and a margin for a busy machine.
+REFUSAL_QUANTILE = 0.95
+MAX_CONNECTIONS = 300
+# A takeover waits for a silence of the hold time, the longest deadline and 0.5 s;
+# meanwhile the port refuses for the longest deadline and 0.5 s. The rest is a margin
+# for a busy machine.
 TAKEOVER_S = 5.0
 
 
@@ -33,9 +39,9 @@
     def setUpClass(cls):
         super().setUpClass()
         options = FleetOptions(
-            daemon_flags=QUICK, cold_s=0.3, service_ms=SERVICE_S * 1000
+            daemon_flags=SHORT_TIMEOUT_FLAGS, cold_s=0.3, service_ms=SERVICE_S * 1000
         )
-        plan = reduced(blue_mahoe(), DOMAINS, (READS, WRITES))
+        plan = reduced(blue_mahoe(), DOMAINS, (READ_SERVICE, WRITE_SERVICE))
         cls.fleet = Fleet(plan, options)
         cls.fleet.__enter__()
         cls.addClassCleanup(cls.fleet.__exit__)
@@ -44,46 +50,48 @@
         return sum(x.slots for x in self.fleet.plan.servers if x.service == service)
 
     def shape(self, factor, regions=("Kingston", "Montego")):
-        """Return a load of a multiple of what all slots can answer."""
+        """Return a load that is the given multiple of the capacity of all slots."""
         return LoadShape(
-            read_rate=factor * self.slots(READS) / SERVICE_S / len(regions),
-            write_rate=factor * self.slots(WRITES) / SERVICE_S / len(regions),
+            read_rate=factor * self.slots(READ_SERVICE) / SERVICE_S / len(regions),
+            write_rate=factor * self.slots(WRITE_SERVICE) / SERVICE_S / len(regions),
             callers_per_region=4,
             deadline_ms=2000,
             regions=regions,
         )
 
-    def play(self, factor, duration_s, seed, **change):
-        return play(self.fleet, self.shape(factor, **change), duration_s, seed)
+    def play(self, factor, duration_s, seed, **shape_options):
+        return play(self.fleet, self.shape(factor, **shape_options), duration_s, seed)
 
     def assert_within_slots(self, *loads):
         report = check_run(self.fleet, list(loads))
         self.assertTrue(report.ok, report.examples)
-        # A server refuses what it has no slot for, so work above the slots shows here.
+        # A server refuses requests when no slot is free, so excess requests count here.
         self.assertEqual(0, report.sheds)
-        self.assertLessEqual(max(report.highest_connections.values()), MOST_CONNECTIONS)
+        self.assertLessEqual(max(report.highest_connections.values()), MAX_CONNECTIONS)
         connections = max(report.highest_connections.values())
         print(f"{report.line()} connections={connections}", end=" ")
 
-    def assert_refused_at_once(self, load):
+    def assert_refused_promptly(self, load):
         attempts = [x for o in load.operations() for x in o.attempts]
         refused = [x for x in attempts if x.error == "overloaded"]
         self.assertTrue(refused)
         self.assertEqual({"not_run"}, {x.result for x in refused})
         self.assertEqual([], [x for x in refused if x.retry_after_ms <= 0])
-        times = sorted(x.ended_at - x.at for x in refused)
-        self.assertLess(times[int(REFUSAL_PART * len(times))], REFUSAL_LIMIT_S)
+        refusal_times = sorted(x.ended_at - x.at for x in refused)
+        self.assertLess(
+            refusal_times[int(REFUSAL_QUANTILE * len(refusal_times))], REFUSAL_LIMIT_S
+        )
 
-    def useful(self, load):
-        """Return the useful work as a part of what all slots can do."""
+    def useful_fraction(self, load):
+        """Return the useful work as a fraction of the capacity of all slots."""
         operations = load.operations()
         start = min(x.started_at for x in operations) + WARM_UP_S
         end = max(x.started_at for x in operations)
-        slots = self.slots(READS) + self.slots(WRITES)
+        slots = self.slots(READ_SERVICE) + self.slots(WRITE_SERVICE)
         return useful_share(operations, start, end, slots, SERVICE_S)
 
     def test_useful_work_stays_at_twice_the_capacity(self):
-        shares = {}
+        fractions = {}
         cases = {
             "capacity": (1.0, ("Kingston", "Montego")),
             "twice": (2.0, ("Kingston", "Montego")),
@@ -93,11 +101,13 @@
             load = self.play(factor, 6.0, seed, regions=regions)
             load.wait()
             self.assert_within_slots(load)
-            shares[name] = self.useful(load)
+            fractions[name] = self.useful_fraction(load)
             if factor > 1:
-                self.assert_refused_at_once(load)
-        print(f"useful: {shares}")
-        self.assertGreater(shares["twice"], USEFUL_PART * shares["capacity"])
+                self.assert_refused_promptly(load)
+        print(f"useful: {fractions}")
+        self.assertGreater(
+            fractions["twice"], MIN_USEFUL_FRACTION * fractions["capacity"]
+        )
 
     def test_wrong_reports_and_cold_starts_cause_no_excess(self):
         servers = [x.name for x in self.fleet.plan.servers]
@@ -145,9 +155,9 @@
         self.fleet.clear_proxy_rules()
         load.wait()
         self.assert_within_slots(load)
-        arrived = [
+        during_cut = [
             x
             for x in load.operations()
             if x.region == "Montego" and lost_at + 1 < x.ended_at < lost_at + 3.5
         ]
-        self.assertGreater(sum(x.result == "whole" for x in arrived), 0)
+        self.assertGreater(sum(x.result == "whole" for x in during_cut), 0)
--- a/bench/tests/test_platform_node.py
+++ b/bench/tests/test_platform_node.py
@@ -1,4 +1,4 @@
-"""One node as a process of its own, against the stand-ins of the platform."""
+"""One node in its own process, with stubs of the platform."""
 
 import json
 import os
@@ -17,10 +17,10 @@
 from standins.platform_store import PlatformStoreServer
 
 ROOT = Path(__file__).resolve().parents[2]
-WAIT_S = 10.0
-# Bound of the users' pages on a change of the configuration, and on a leaving server.
-APPLY_S = 2.5
-DRAIN_S = 2.5
+WAIT_TIMEOUT_S = 10.0
+# Documented time limits for applying a configuration change and draining a server.
+APPLY_LIMIT_S = 2.5
+DRAIN_LIMIT_S = 2.5
 GRACE_S = 2.0
 SETTINGS = """
 NodeName = "node-1"
@@ -51,7 +51,7 @@
     return ports
 
 
-def config(version, service="history", prefix="/a/"):
+def config_object(version, service="history", prefix="/a/"):
     path = {
         "Name": f"r{prefix}",
         "PathPrefix": prefix,
@@ -65,14 +65,14 @@
     return {"Version": version, "Services": [], "VirtualHosts": hosts}
 
 
-def entry(service, address, state="ready"):
+def server_object(service, address, state="ready"):
     info = {"Service": service, "Zone": "kingston-a", "MaxConcurrency": 4}
     status = {"State": state, "Sequence": 1, "WarmupLeftMs": 0}
     return {"Addr": address, "born": 1, "Info": info, "Status": status}
 
 
 class PlatformNodeTest(TestCase):
-    """Guards against a node that serves with old state, or not at all."""
+    """Guards against a node that serves with outdated state or doesn't serve."""
 
     def setUp(self):
         super().setUp()
@@ -83,9 +83,11 @@
             endpoint = self.endpoints[service] = PlatformEndpoint(f"i-{service}")
             self.addCleanup(endpoint.stop)
             state = self.store.state
-            state.put("servers", f"i-{service}", entry(service, endpoint.address))
+            state.put(
+                "servers", f"i-{service}", server_object(service, endpoint.address)
+            )
         self.store.state.put("servers", "i-odd", "not an entry")
-        self.store.state.put("config", "main", config(1))
+        self.store.state.put("config", "main", config_object(1))
         self.ports = free_ports(5)
         self.start()
         self.count = 0
@@ -114,9 +116,9 @@
         )
         self.addCleanup(self.node.wait)
         self.addCleanup(self.node.kill)
-        self.wait_until(lambda: self.ask(self.ports[2], "/ready")[0] == 200)
+        self.wait_until(lambda: self.call(self.ports[2], "/ready")[0] == 200)
 
-    def ask(self, port, path, headers=None, body=None):
+    def call(self, port, path, headers=None, body=None):
         connection = HTTPConnection("127.0.0.1", port, timeout=3.0)
         try:
             connection.request("POST" if body else "GET", path, body, headers or {})
@@ -130,14 +132,14 @@
     def send(self, path):
         self.count += 1
         headers = {"Host": "h.example", "Attempt-Id": f"id-{self.count}"}
-        return self.ask(self.ports[1], path, headers, b"body")
+        return self.call(self.ports[1], path, headers, b"body")
 
-    def wait_until(self, check, longest_s=WAIT_S):
-        until = monotonic() + longest_s
-        while not check():
-            if monotonic() > until:
+    def wait_until(self, condition, timeout_s=WAIT_TIMEOUT_S):
+        deadline = monotonic() + timeout_s
+        while not condition():
+            if monotonic() > deadline:
                 self.log.seek(0)
-                self.fail("not in time; the node's log: " + self.log.read()[-2000:])
+                self.fail("timed out; the node's log: " + self.log.read()[-2000:])
             sleep(0.05)
 
     def test_1_request_reaches_the_service_of_its_route(self):
@@ -146,49 +148,55 @@
         self.assertEqual(404, self.send("/b/x")[0])
 
     def test_2_directory_and_metrics(self):
-        status, body = self.ask(
+        status, body = self.call(
             self.ports[3], "/resolve?Name=h.example&Region=kingston&Zone=kingston-a"
         )
         self.assertEqual(200, status)
         self.assertEqual([f"127.0.0.1:{self.ports[1]}"], json.loads(body)["Addrs"])
-        status, body = self.ask(self.ports[4], "/metrics")
+        status, body = self.call(self.ports[4], "/metrics")
         self.assertIn(b"ebonybend_config_version 1.0", body)
 
     def test_3_change_is_in_force_also_after_the_history_is_gone(self):
-        self.store.state.put("config", "main", config(4, "signoff"))
-        self.wait_until(lambda: self.send("/a/x")[1] and self.ran("signoff"), APPLY_S)
+        self.store.state.put("config", "main", config_object(4, "signoff"))
+        self.wait_until(
+            lambda: self.send("/a/x")[1] and self.has_run("signoff"), APPLY_LIMIT_S
+        )
         self.store.state.forget_history()
-        self.store.state.put("config", "main", config(6, "history", "/c/"))
-        self.wait_until(lambda: self.send("/c/x")[0] == 200, APPLY_S)
-        self.store.state.put("config", "main", config(5, "history", "/a/"))
+        self.store.state.put("config", "main", config_object(6, "history", "/c/"))
+        self.wait_until(lambda: self.send("/c/x")[0] == 200, APPLY_LIMIT_S)
+        self.store.state.put("config", "main", config_object(5, "history", "/a/"))
         sleep(0.5)
         self.assertEqual(404, self.send("/a/x")[0])
 
-    def ran(self, service):
+    def has_run(self, service):
         return bool(self.endpoints[service].runs)
 
     def test_4_leaving_server_gets_no_request(self):
-        leaving = entry("history", self.endpoints["history"].address, "draining")
+        leaving = server_object(
+            "history", self.endpoints["history"].address, "draining"
+        )
         self.store.state.put("servers", "i-history", leaving)
-        self.wait_until(lambda: self.send("/a/x")[0] == 503, DRAIN_S)
+        self.wait_until(lambda: self.send("/a/x")[0] == 503, DRAIN_LIMIT_S)
 
     def test_5_serves_while_the_store_is_away(self):
         self.store.state.refuse_with = 503
         sleep(0.3)
         self.assertEqual(200, self.send("/a/x")[0])
         self.store.state.refuse_with = None
-        self.store.state.put("config", "main", config(2, "signoff"))
-        self.wait_until(lambda: self.send("/a/x")[0] and self.ran("signoff"), APPLY_S)
+        self.store.state.put("config", "main", config_object(2, "signoff"))
+        self.wait_until(
+            lambda: self.send("/a/x")[0] and self.has_run("signoff"), APPLY_LIMIT_S
+        )
 
     def test_6_reused_address_runs_nothing_of_another_service(self):
         state = self.store.state
         address = self.endpoints["signoff"].address
-        state.put("servers", "i-history", entry("history", address))
-        self.wait_until(lambda: self.send("/a/x")[0] == 503, DRAIN_S)
-        self.assertFalse(self.ran("signoff"))
+        state.put("servers", "i-history", server_object("history", address))
+        self.wait_until(lambda: self.send("/a/x")[0] == 503, DRAIN_LIMIT_S)
+        self.assertFalse(self.has_run("signoff"))
 
     def test_7_stops_within_its_grace_time(self):
         self.node.send_signal(signal.SIGTERM)
-        self.wait_until(lambda: self.ask(self.ports[2], "/ready")[0] != 200, 1.0)
+        self.wait_until(lambda: self.call(self.ports[2], "/ready")[0] != 200, 1.0)
         self.assertEqual(200, self.send("/a/x")[0])
         self.assertEqual(0, self.node.wait(GRACE_S + 1.0))
--- a/bench/tests/test_standins.py
+++ b/bench/tests/test_standins.py
@@ -13,7 +13,7 @@
 
 
 class StandInsTest(TestCase):
-    """Backend servers and the proxy as real processes, without instances."""
+    """Stubs of backend servers and the proxy as real processes, without instances."""
 
     @classmethod
     def setUpClass(cls):
@@ -32,7 +32,7 @@
         return (monotonic() - started) * 1000
 
     def test_proxy_delay_is_accurate(self):
-        # The fastest of several round trips; the others may meet a busy machine.
+        # Takes the fastest of several round trips; a busy machine may slow the others.
         rule = ProxyRule(name="delay", target=self.proxied, delay_ms=20)
         self.fleet.add_proxy_rules(rule)
         self.addCleanup(self.fleet.clear_proxy_rules)
@@ -49,25 +49,29 @@
 
     def test_closed_connection_cancels_the_work(self):
         call("GET", self.direct, "/gone?service_ms=2000", timeout=0.2)
-        self.fleet.wait_until(lambda: "cancelled" in self.kinds("/gone"), "cancelled")
+        self.fleet.wait_until(
+            lambda: "cancelled" in self.event_names("/gone"), "cancelled"
+        )
 
     def test_deadline_ends_the_work(self):
         headers = {"Deadline-Ms": "30"}
         answer = call("GET", self.direct, "/late?service_ms=2000", None, headers)
         self.assertEqual(504, answer.status)
-        self.assertEqual(["received", "started", "cancelled"], self.kinds("/late"))
+        self.assertEqual(
+            ["received", "started", "cancelled"], self.event_names("/late")
+        )
 
     def test_draining_server_refuses_new_work_as_not_run(self):
         self.fleet.set_server_faults(SERVER, ServerFaults(draining=True))
         self.addCleanup(self.fleet.set_server_faults, SERVER, ServerFaults())
         self.assertEqual(503, call("GET", self.direct, "/drained").status)
-        self.assertEqual(["received", "refused"], self.kinds("/drained"))
+        self.assertEqual(["received", "refused"], self.event_names("/drained"))
 
     def test_crash_is_a_refused_port_until_the_restart(self):
         name = "certificate-registry-01"
         address = self.fleet.addresses.server(name).advertise
         call("GET", address, "/crash-server")
-        # The proxy learns of the crash by its idle connection, a moment later.
+        # The proxy detects the crash a moment later, by its idle connection.
         self.fleet.wait_until(
             lambda: b"ConnectionRefusedError" in call("GET", address, "/health").body,
             "the port refuses connections",
@@ -76,6 +80,6 @@
             lambda: call("GET", address, "/health").status == 200, "restarted"
         )
 
-    def kinds(self, path):
+    def event_names(self, path):
         events = read_server_events([self.fleet.server_history(SERVER)])
         return [x.event for x in events if x.path.startswith(path)]
