--- a/bench/tests/test_caps.py
+++ b/bench/tests/test_caps.py
@@ -146,8 +146,8 @@
         operations = [x for load in loads for x in load.operations()]
         events = read_server_events(self.fleet.server_histories())
         moved = moved_at(operations, events, (BORROWER, *LENDERS), servers)
-        steady = shifted_at + RAMP_END_S
-        rate = len(between(moved, steady, steady + STEADY_S)) / STEADY_S
+        steady_at = shifted_at + RAMP_END_S
+        rate = len(between(moved, steady_at, steady_at + STEADY_S)) / STEADY_S
         peaks = {
             "shift": most_in_window(between(moved, shifted_at, lowering_at)).count,
             "lowered": most_in_window(between(moved, lowered_at, ended_at)).count,
--- a/bench/tests/test_configuration.py
+++ b/bench/tests/test_configuration.py
@@ -29,9 +29,9 @@
 IN_FORCE_S = 5.0
 # Start-up time on a busy machine; it is not part of the time limit for rules.
 START_TIMEOUT_S = 20.0
-ROUNDS = 5
-FAULT_S = 3.0
-OLDER_OBJECT_S = 2.0
+EDIT_ROUNDS = 5
+FAULT_DURATION_S = 3.0
+OLDER_OBJECT_WAIT_S = 2.0
 
 
 def rules(latency, comment="test"):
@@ -65,17 +65,19 @@
         self.fleet.set_platform_faults(PlatformFaults())
         ready = self.fleet.instances_ready
         self.fleet.wait_until(ready, "instances are ready", START_TIMEOUT_S)
-        newest = self.stored().revision
-        self.fleet.wait_until(lambda: self.all_have(newest), "revisions are equal")
+        newest = self.stored_rules().revision
+        self.fleet.wait_until(
+            lambda: self.all_instances_have(newest), "revisions are equal"
+        )
 
-    def stored(self):
+    def stored_rules(self):
         path = "/v1/objects/rules/main"
         answer = call("GET", self.fleet.addresses.platform_faults, path)
         if answer.status != 200:
             return RulesObject()
         return from_json(from_json(answer.body, StoredObject).value, RulesObject)
 
-    def all_have(self, revision):
+    def all_instances_have(self, revision):
         revisions = [entry_revision(self.fleet, x) or 0 for x in self.fleet.instances]
         return min(revisions) >= revision
 
@@ -97,7 +99,7 @@
         return from_json(answer.body, ApplyAnswer).revision, monotonic()
 
     def assert_in_force(self, revision, accepted_at, names=None):
-        """Check that instances report a revision in time and no revision falls."""
+        """Check that instances report a revision in time and no revision decreases."""
         slowest = 0.0
         for name in names or self.fleet.instances:
             process = f"{name}-entry"
@@ -151,11 +153,11 @@
     def test_older_object_of_the_platform_is_not_taken(self):
         # Guards against older rules after the platform is restored from a backup.
         self.assert_in_force(*self.apply())
-        older = self.stored()
+        older = self.stored_rules()
         revision, accepted_at = self.apply()
         self.assert_in_force(revision, accepted_at)
         self.fleet.write_object("rules", "main", older)
-        sleep(OLDER_OBJECT_S)
+        sleep(OLDER_OBJECT_WAIT_S)
         self.fleet.kill_role(REMOTE, "control")
         self.fleet.processes.restart(f"{REMOTE}-control")
         self.fleet.kill_instance(WATCHER)
@@ -169,10 +171,10 @@
 
     def test_one_of_two_simultaneous_edits_wins(self):
         # Guards against an edit that silently replaces another one.
-        for number in range(ROUNDS):
-            base = self.stored().revision
+        for number in range(EDIT_ROUNDS):
+            base = self.stored_rules().revision
             runs = self.edit_simultaneously(base)
-            found = self.stored()
+            found = self.stored_rules()
             self.assertEqual(base + 1, found.revision)
             statuses = sorted(x.status for x in runs.values())
             self.assertEqual([0, 1], statuses, f"round {number}: {runs}")
@@ -206,21 +208,21 @@
 
     def test_lost_answer_is_resolved_and_the_change_is_written_once(self):
         # Guards against a change that is applied twice or reported as failed.
-        before = self.stored()
+        before = self.stored_rules()
         path = self.fleet.directory / "lost.rules"
         path.write_text(self.next_rules())
         self.fleet.set_platform_faults(PlatformFaults(lose_answers=1))
         arguments = ("--author=Ana", "--why=test", f"--base={before.revision}")
         done = tool(self.fleet, (WRITER,), "apply", str(path), *arguments)
         self.assertEqual(0, done.status, done.output)
-        after = self.stored()
+        after = self.stored_rules()
         self.assertEqual(before.revision + 1, after.revision)
         self.assertEqual(path.read_text(), after.text)
         ids = [x.change_id for x in after.recent]
         self.assertEqual(1, ids.count(after.change_id))
 
     def test_in_force_is_not_said_while_an_entry_is_paused(self):
-        # Guards against a report based on acceptance or on the control, not on entries.
+        # Guards against a report based only on acceptance or on the control's revision.
         process = f"{REMOTE}-entry"
         self.fleet.processes.signal(process, signal.SIGSTOP)
         resume = (process, signal.SIGCONT)
@@ -240,10 +242,10 @@
         self.check_report(self.fleet.clear_proxy_rules)
 
     def check_report(self, remove_faults):
-        """Apply rules that an entry lacks; remove the fault while the tool waits."""
+        """Apply rules during a fault, which is removed while the tool waits."""
         path = self.fleet.directory / "report.rules"
         path.write_text(self.next_rules())
-        base = self.stored().revision
+        base = self.stored_rules().revision
         results = []
 
         def apply():
@@ -252,7 +254,7 @@
 
         thread = Thread(target=apply)
         thread.start()
-        sleep(FAULT_S)
+        sleep(FAULT_DURATION_S)
         removed_at = monotonic()
         remove_faults()
         thread.join()
--- a/bench/tests/test_crashing_requests.py
+++ b/bench/tests/test_crashing_requests.py
@@ -139,9 +139,9 @@
         # Guards against regions that learn of the request only from their own crashes.
         path = f"{CRASH_PATH}?all=1&service_ms={SERVICE_MS}"
         other_requests = self.other_requests("all")
-        crashing = [(x, path) for x in SENDERS]
-        answers = self.send_all([*other_requests, *crashing])
-        self.send_all(crashing)
+        crashing_requests = [(x, path) for x in SENDERS]
+        answers = self.send_all([*other_requests, *crashing_requests])
+        self.send_all(crashing_requests)
         # Each region may start one run before it learns of another region's crash.
         self.assert_refused(path, len(SENDERS))
         self.assert_answered(other_requests, answers[:OTHER_REQUESTS])
--- a/bench/tests/test_cut_off.py
+++ b/bench/tests/test_cut_off.py
@@ -19,7 +19,7 @@
 )
 DOMAINS = ("kingston-1", "montego-1")
 READ_SERVICE, WRITE_SERVICE = "ride-history", "sign-off-filing"
-LOCAL, KILLED, REMOTE = "kingston-1-a", "kingston-1-b", "montego-1-a"
+LOCAL, SIBLING, REMOTE = "kingston-1-a", "kingston-1-b", "montego-1-a"
 SERVICE_MS = 60.0
 MODERATE_LOAD = LoadShape(read_rate=20.0, write_rate=8.0, callers_per_region=4)
 # 9 slots in Kingston at 60 ms answer 150 reads per second; the rest overflows.
@@ -103,9 +103,9 @@
     def test_1_reads_don_t_wait_for_a_paused_instance(self):
         load = play(self.fleet, MODERATE_LOAD, 6.0, seed=1)
         sleep(1.5)
-        self.fleet.pause_instance(KILLED)
+        self.fleet.pause_instance(SIBLING)
         sleep(3.0)
-        self.fleet.resume_instance(KILLED)
+        self.fleet.resume_instance(SIBLING)
         load.wait()
         self.assert_no_violation(load)
         reads = [x for x in load.operations() if x.method == "GET"]
@@ -113,7 +113,7 @@
         self.assertLessEqual(len(failed), 0.01 * len(reads), failed[:3])
 
     def test_2_requests_are_whole_soon_after_a_kill(self):
-        for seed, name in ((2, KILLED), (3, REMOTE)):
+        for seed, name in ((2, SIBLING), (3, REMOTE)):
             load = play(self.fleet, MODERATE_LOAD, 6.0, seed)
             sleep(1.5)
             killed_at = monotonic()
@@ -129,10 +129,10 @@
         load = play(self.fleet, MODERATE_LOAD, 8.0, seed=4)
         sleep(1.0)
         killed_at = monotonic()
-        self.fleet.kill_instance(KILLED)
+        self.fleet.kill_instance(SIBLING)
         sleep(0.5)
-        self.fleet.restart_instance(KILLED)
-        self.wait_until_serving(KILLED)
+        self.fleet.restart_instance(SIBLING)
+        self.wait_until_serving(SIBLING)
         load.wait()
         self.fleet.set_platform_faults(PlatformFaults())
         self.assert_no_violation(load)
@@ -176,7 +176,7 @@
             x.name for x in self.fleet.plan.servers if "mont" in x.failure_domain
         ]
         events = read_server_events(self.fleet.server_histories())
-        moved = moved_at(load.operations(), events, (LOCAL, KILLED), servers)
+        moved = moved_at(load.operations(), events, (LOCAL, SIBLING), servers)
         resumed_at = min(between(moved, healed_at, healed_at + 4), default=None)
         self.assertIsNotNone(resumed_at, "no traffic after the cut")
         counts = [
@@ -186,7 +186,7 @@
         before = len(between(moved, cut_at - 1, cut_at))
         print(f"back after {resumed_at - healed_at:.2f} s, per half second {counts}")
         print(f"in the second before the cut {before}")
-        first = len(between(moved, resumed_at, resumed_at + FIRST_ROUNDS_S))
-        self.assertLessEqual(first, MAX_IN_FIRST_ROUNDS)
+        first_rounds = len(between(moved, resumed_at, resumed_at + FIRST_ROUNDS_S))
+        self.assertLessEqual(first_rounds, MAX_IN_FIRST_ROUNDS)
         self.assertLessEqual(sum(counts[:2]), MAX_IN_FIRST_SECOND)
         self.assertGreater(sum(counts), 0)
