--- a/bench/tests/test_configuration.py
+++ b/bench/tests/test_configuration.py
@@ -151,7 +151,7 @@
         self.assert_in_force(revision, monotonic(), [RESTARTED])
 
     def test_older_object_of_the_platform_is_not_taken(self):
-        # Guards against older rules after the platform is restored from a backup.
+        # Guards against older rules after the platform is restored from an older state.
         self.assert_in_force(*self.apply())
         older = self.stored_rules()
         revision, accepted_at = self.apply()
--- a/bench/tests/test_crashing_requests.py
+++ b/bench/tests/test_crashing_requests.py
@@ -126,7 +126,7 @@
         self.assertEqual([200] * OTHER_REQUESTS, again)
 
     def test_one_sender_again_and_again(self):
-        # Guards against a request whose retries crash one server after another.
+        # Guards against a request that a client resends to one server after another.
         path = f"{CRASH_PATH}?one=1&service_ms={SERVICE_MS}"
         other_requests = self.other_requests("one")
         answers = self.send_all([*other_requests, (SENDERS[0], path)])
@@ -168,7 +168,7 @@
         self.assertGreater(len(self.run_times(path)), crashes, answer)
 
     def test_write_is_not_sent_again(self):
-        # Guards against a write that an entry resends after a crash.
+        # Guards against a write that the system resends after a crash.
         path = f"{CRASH_PATH}?write=1&service_ms={SERVICE_MS}"
         address = self.fleet.addresses.public(SENDERS[0]).listen
         client = self.fleet.addresses.client_ip("Kingston", 1)
