--- a/ebonybend/cli.py
+++ b/ebonybend/cli.py
@@ -14,7 +14,7 @@
 from ebonybend.codec import to_json
 from ebonybend.errors import ErrorKind, SteeringError
 from ebonybend.tool import VERBS, AdminClient, Context, Options, Verb, parse_options
-from ebonybend.tool.context import DONE, REFUSED, UNREACHABLE_OR_USAGE
+from ebonybend.tool.context import EXIT_DONE, EXIT_REFUSED, EXIT_UNREACHABLE_OR_USAGE
 from ebonybend.tool.files import read_text
 from ebonybend.tool.options import usage_error
 from ebonybend.tool.verbs import allowed_flags, general_help, verb_help
@@ -58,9 +58,9 @@
     except BrokenPipeError:
         # The reader, for example `head`, has closed the pipe.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
-        return DONE
+        return EXIT_DONE
     except KeyboardInterrupt:
-        return UNREACHABLE_OR_USAGE
+        return EXIT_UNREACHABLE_OR_USAGE
 
 
 def _write_utf8() -> None:
@@ -73,11 +73,11 @@
 def _run(options: Options, values: FlagValues) -> int:
     if options.verb is None and options.help:
         print(general_help(values))
-        return DONE
+        return EXIT_DONE
     verb = _find_verb(options)
     if options.help:
         print(verb_help(verb, values))
-        return DONE
+        return EXIT_DONE
     _check_usage(verb, options)
     result = verb.run(_new_context(options))
     if options.json:
@@ -102,12 +102,12 @@
     if len(options.operands) != expected:
         usage = f"usage: ebonybend {verb.name} {verb.operand}".rstrip()
         raise usage_error(f"{usage}; see ebonybend {verb.name} --help")
-    for name in sorted(options.given - set(allowed_flags(verb))):
+    for name in sorted(options.given_flags - set(allowed_flags(verb))):
         raise usage_error(f"{verb.name} has no flag --{name}")
 
 
 def _new_context(options: Options) -> Context:
-    def progress(line: str) -> None:
+    def report_progress(line: str) -> None:
         if not options.json:
             print(line, file=sys.stderr)
 
@@ -117,7 +117,7 @@
         clock=SystemClock(),
         sleep=sleep,
         new_change_id=lambda: uuid4().hex,
-        progress=progress,
+        report_progress=report_progress,
         read_file=read_text,
     )
 
@@ -129,7 +129,7 @@
         print(to_json(report).decode())
     else:
         print(f"ebonybend: {error.kind.value}: {error.message}", file=sys.stderr)
-    return REFUSED if error.kind in _REFUSED_KINDS else UNREACHABLE_OR_USAGE
+    return EXIT_REFUSED if error.kind in _REFUSED_KINDS else EXIT_UNREACHABLE_OR_USAGE
 
 
 if __name__ == "__main__":
--- a/ebonybend/entry/budgets.py
+++ b/ebonybend/entry/budgets.py
@@ -142,7 +142,7 @@
         if bound.ramp is None or total < MIN_ANSWERS_FOR_RAMP:
             return
         latency_ms = MS * answers.latency_s / max(1, answers.answered)
-        bound.ramp.observe(latency_ms, answers.refused / total)
+        bound.ramp.adjust(latency_ms, answers.refused / total)
         bound.answers = RampAnswers()
 
     def shift_target(self, service: str) -> str | None:
--- a/ebonybend/entry/lending.py
+++ b/ebonybend/entry/lending.py
@@ -70,7 +70,7 @@
     def _needed_units(bound: Bound) -> int:
         """Return the number of leased units that this entry could use now."""
         usage = bound.share.usage()
-        own = usage.units - sum(bound.share.loans().values())
+        own = usage.units - sum(bound.share.leased_units().values())
         return max(0, usage.sent + usage.refused - own)
 
     def _lenders(self, bound: Bound) -> list[str]:
@@ -80,7 +80,7 @@
         names = table.deployment.region_instances(region)
         others = [n for n in names if n != self.table_state.own]
         others = [n for n in others if n in self.table_state.instances]
-        leases = bound.share.loans()
+        leases = bound.share.leased_units()
         new_lenders = [name for name in others if name not in leases]
         current_lenders = [name for name in others if name in leases]
         return current_lenders + self.random.sample(
--- a/ebonybend/entry/serving.py
+++ b/ebonybend/entry/serving.py
@@ -128,6 +128,6 @@
     def on_disconnect() -> None:
         request.client_disconnected = True
         if request.idempotent:
-            raw.running.cancel()
+            raw.handler_task.cancel()
 
-    raw.on_gone = on_disconnect
+    raw.on_client_disconnect = on_disconnect
--- a/ebonybend/http_client.py
+++ b/ebonybend/http_client.py
@@ -25,7 +25,7 @@
 from twisted.web.iweb import UNKNOWN_LENGTH, IBodyProducer
 from zope.interface import implementer
 
-from ebonybend.sockets import detect_silence
+from ebonybend.sockets import enable_dead_peer_detection
 from ebonybend.timeouts import Timeout
 
 # Shorter than the idle time-out of the servers, so that a connection is not reused
@@ -194,10 +194,10 @@
         reactor: Any,
         source_address: str | None = None,
         connections_per_host: int = 64,
-        detects_silence: bool = False,
+        detect_dead_peers: bool = False,
     ):
         self.reactor = reactor
-        self.detects_silence = detects_silence
+        self.detect_dead_peers = detect_dead_peers
         self.bind = (source_address, 0) if source_address else None
         self.pools = {
             Reuse.ANY: _IdleLimitedPool(reactor, MAX_IDLE_S, connections_per_host),
@@ -250,8 +250,8 @@
             timer = self.reactor.callLater(timeout, connecting.cancel)
         try:
             connection = await connecting
-            if timer is not None and self.detects_silence:
-                detect_silence(connection.transport)
+            if timer is not None and self.detect_dead_peers:
+                enable_dead_peer_detection(connection.transport)
             return connection
         except (CancelledError, ConnectingCancelledError) as error:
             raise NotSent(f"no connection to {address} in {timeout:.3f} s") from error
--- a/ebonybend/http_server.py
+++ b/ebonybend/http_server.py
@@ -30,7 +30,7 @@
     receive_timeout_s: float = 5.0
     idle_timeout_s: float = 30.0
     # Whether the receive time-out covers only the headers, not the body.
-    times_headers_only: bool = False
+    timeout_covers_headers_only: bool = False
 
 
 @frozen
@@ -138,9 +138,9 @@
     received_bytes = 0
     # Called if the client closes its connection before the answer is written. The
     # handler then goes on, unless this function cancels it.
-    on_gone: Callable[[], None] | None = None
+    on_client_disconnect: Callable[[], None] | None = None
     # The handler's coroutine; cancelling it ends the request.
-    running: Deferred[None] | None = None
+    handler_task: Deferred[None] | None = None
 
     def gotLength(self, length: int | None) -> None:
         limit = self.channel.site.limits.max_body_bytes
@@ -167,8 +167,8 @@
         # Twisted clears self.channel when the answer is written.
         site = self.channel_site = self.channel.site
         site.running += 1
-        self.running = Deferred.fromCoroutine(self._run_handler(site))
-        self.running.addBoth(partial(self._decrement_running, site))
+        self.handler_task = Deferred.fromCoroutine(self._run_handler(site))
+        self.handler_task.addBoth(partial(self._decrement_running, site))
 
     @staticmethod
     def _decrement_running(site: "HttpSite", _result: Any) -> None:
@@ -176,10 +176,10 @@
 
     def _handle_client_disconnect(self, _reason: Any) -> None:
         self.client_disconnected = True
-        if self.on_gone is not None:
-            self.on_gone()
-        elif self.channel_site.cancels_abandoned and self.running is not None:
-            self.running.cancel()
+        if self.on_client_disconnect is not None:
+            self.on_client_disconnect()
+        elif self.channel_site.cancel_on_disconnect and self.handler_task is not None:
+            self.handler_task.cancel()
 
     async def _run_handler(self, site: "HttpSite") -> None:
         try:
@@ -273,7 +273,7 @@
     def allHeadersReceived(self) -> None:
         timer = self.receive_timer
         timer_is_active = timer is not None and timer.active()
-        if timer_is_active and self.site.limits.times_headers_only:
+        if timer_is_active and self.site.limits.timeout_covers_headers_only:
             timer.cancel()
         super().allHeadersReceived()
 
@@ -357,7 +357,7 @@
         # Set while the process stops: answers then carry Connection: close.
         self.closing = False
         # Whether a handler is cancelled when its client disconnects.
-        self.cancels_abandoned = False
+        self.cancel_on_disconnect = False
 
     def buildProtocol(self, addr: Any) -> Any:
         """Accept a connection, or refuse it if too many are open."""
--- a/ebonybend/logs.py
+++ b/ebonybend/logs.py
@@ -22,7 +22,7 @@
         ...
 
 
-class LossyFile:
+class NonBlockingLogFile:
     """Write to a descriptor without blocking; drop lines while its buffer is full.
 
     The descriptor is made non-blocking, because a write to a pipe whose reader has
--- a/ebonybend/node/backend_pool.py
+++ b/ebonybend/node/backend_pool.py
@@ -13,7 +13,7 @@
 from twisted.internet.protocol import Factory
 
 from ebonybend.node.backend_connection import ACK_TIMEOUT_MS, BackendConnection
-from ebonybend.sockets import detect_silence
+from ebonybend.sockets import enable_dead_peer_detection
 from ebonybend.world import BackendServer
 
 # Longest idle time after which a connection is reused. Servers that state no idle
@@ -95,7 +95,7 @@
             raise BackendUnreachable(str(error), False) from error
         self.connections_opened += 1
         connection.transport.setTcpNoDelay(True)
-        detect_silence(connection.transport, ACK_TIMEOUT_MS)
+        enable_dead_peer_detection(connection.transport, ACK_TIMEOUT_MS)
         return connection
 
     def _release_callback(
--- a/ebonybend/node/decisions.py
+++ b/ebonybend/node/decisions.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from ebonybend.errors import SteeringError
-from ebonybend.logs import LossyFile, get_logger
+from ebonybend.logs import NonBlockingLogFile, get_logger
 from ebonybend.node.caller_requests import ClientRequest
 from ebonybend.node.wire import ClientHeaders
 
@@ -43,7 +43,7 @@
 class RequestLog:
     """Log the outcome of requests, with a larger limit for failures."""
 
-    def __init__(self, clock: Callable[[], float], file: LossyFile):
+    def __init__(self, clock: Callable[[], float], file: NonBlockingLogFile):
         self.clock = clock
         self.file = file
         self.answers = LineBudget(MAX_ANSWER_LINES_PER_S)
--- a/ebonybend/node/demand.py
+++ b/ebonybend/node/demand.py
@@ -4,7 +4,7 @@
 
 from ebonybend.logs import get_logger
 from ebonybend.node.members import Members
-from ebonybend.steering.placement import capacity_by_region, slots_in
+from ebonybend.steering.placement import capacity_by_region, usable_slots
 from ebonybend.steering.regions import (
     DemandMeter,
     RegionShares,
@@ -53,7 +53,7 @@
     def record_request(self, route: Route, service: str) -> None:
         """Add a client request to the demand."""
         self.active_services.add(service)
-        seconds = self.times.warm_time(route.name)
+        seconds = self.times.warm_time_s(route.name)
         meter = self.demand_meters.get(service)
         if meter is None:
             meter = self.demand_meters[service] = DemandMeter()
@@ -102,7 +102,7 @@
         """Move the traffic shares of one service toward its target."""
         capacity = capacity_by_region(self.table, service, now)
         target = self._target(service, demand, capacity)
-        slots = slots_in(self.table, service, self.region, now)
+        slots = usable_slots(self.table, service, self.region, now)
         lost_fraction = self.slot_loss_detectors.setdefault(
             service, SlotLossDetector()
         ).update(slots, now)
--- a/ebonybend/node/routing_state.py
+++ b/ebonybend/node/routing_state.py
@@ -31,7 +31,7 @@
         self.limits = config.limits
         self.most_urgent = _most_urgent(config)
         route_names = {route.name for route in config.routes}
-        self.part_chooser.forget_except(route_names)
+        self.part_chooser.retain(route_names)
         self.client_retry_detector.retain(route_names)
         get_logger().info(
             "config_in_force",
--- a/ebonybend/node/service.py
+++ b/ebonybend/node/service.py
@@ -11,7 +11,7 @@
 from ebonybend.errors import SteeringError
 from ebonybend.http_server import HttpLimits, HttpSite
 from ebonybend.listening import listen
-from ebonybend.logs import LossyFile, get_logger
+from ebonybend.logs import NonBlockingLogFile, get_logger
 from ebonybend.node.backend_pool import BackendPool
 from ebonybend.node.beats import HeartbeatProtocol
 from ebonybend.node.callers import ClientPort
@@ -60,7 +60,7 @@
         documents: Documents,
         metrics_port: int,
         reload: Callable[[], NodeSettings],
-        log_file: LossyFile,
+        log_file: NonBlockingLogFile,
     ):
         self.reactor = reactor
         self.settings = settings
@@ -174,7 +174,7 @@
         self.client_site = HttpSite(
             self.reactor, client_port.handle, self._http_limits()
         )
-        self.client_site.cancels_abandoned = True
+        self.client_site.cancel_on_disconnect = True
         self.sites = {
             settings.callers_address: self.client_site,
             settings.ready_address: self._site(
@@ -200,7 +200,7 @@
             ),
             receive_timeout_s=limits.header_timeout_s,
             idle_timeout_s=limits.idle_timeout_s,
-            times_headers_only=True,
+            timeout_covers_headers_only=True,
         )
 
     def is_ready(self) -> bool:
--- a/ebonybend/platform/__main__.py
+++ b/ebonybend/platform/__main__.py
@@ -4,7 +4,7 @@
 import sys
 
 from ebonybend.errors import SteeringError
-from ebonybend.logs import LossyFile, configure_logs
+from ebonybend.logs import NonBlockingLogFile, configure_logs
 from ebonybend.loop import install_reactor
 from ebonybend.platform.settings import read_settings, settings_path
 
@@ -19,7 +19,7 @@
     try:
         path = settings_path()
         settings = read_settings(path)
-        log_file = LossyFile(sys.stdout.fileno())
+        log_file = NonBlockingLogFile(sys.stdout.fileno())
         configure_logs("info", log_file, instance=settings.name)
         install_reactor()
         # These modules import the installed reactor.
@@ -31,7 +31,7 @@
         from ebonybend.platform.documents import PlatformDocuments
         from ebonybend.platform.store import PlatformStore
 
-        http = HttpClient(reactor, detects_silence=True)
+        http = HttpClient(reactor, detect_dead_peers=True)
         service = NodeService(
             reactor,
             settings,
--- a/ebonybend/sockets.py
+++ b/ebonybend/sockets.py
@@ -18,7 +18,7 @@
 UNACKNOWLEDGED_TIMEOUT_MS = 2000
 
 
-def detect_silence(
+def enable_dead_peer_detection(
     transport: Any, unacknowledged_ms: int = UNACKNOWLEDGED_TIMEOUT_MS
 ) -> None:
     """Let the kernel close a connection whose peer no longer acknowledges packets."""
--- a/ebonybend/steering/placement.py
+++ b/ebonybend/steering/placement.py
@@ -165,7 +165,7 @@
         if urgent is None:
             return slots * URGENT_LOAD_LIMIT
         multiple = LOAD_LIMIT if query.retry_remaining_s is None else RETRY_LOAD_LIMIT
-        urgent_s = self.times.warm_time(urgent.name) * state.slowness
+        urgent_s = self.times.warm_time_s(urgent.name) * state.slowness
         mean_s = state.service_s or 0.0
         if not urgent_s or not mean_s:
             return slots * multiple
@@ -232,7 +232,7 @@
     return capacity
 
 
-def slots_in(table: ServerTable, service: str, region: str, now: float) -> int:
+def usable_slots(table: ServerTable, service: str, region: str, now: float) -> int:
     """Return the number of a service's usable slots in a region."""
     states = without_ejected(table.usable(service), now)
     return sum(s.server.slots for s in states if s.server.region == region)
--- a/ebonybend/steering/routes.py
+++ b/ebonybend/steering/routes.py
@@ -64,7 +64,7 @@
         state.credits[best] -= 1.0
         return route.parts[best]
 
-    def forget_except(self, names: set[str]) -> None:
+    def retain(self, names: set[str]) -> None:
         """Drop the state of routes that no longer exist."""
         self.round_robins = {
             name: state for name, state in self.round_robins.items() if name in names
--- a/ebonybend/steering/service_times.py
+++ b/ebonybend/steering/service_times.py
@@ -86,7 +86,7 @@
         base = times.expected(self.is_warm(state.server.name, key)) or 0.0
         return base * state.slowness
 
-    def warm_time(self, route: str) -> float:
+    def warm_time_s(self, route: str) -> float:
         """Return a route's mean service time for warm objects; 0 if unknown."""
         times = self.routes.get(route)
         return (times.warm_s if times else None) or 0.0
--- a/ebonybend/steering/shares.py
+++ b/ebonybend/steering/shares.py
@@ -170,7 +170,7 @@
             TimedLease(lease.units, sent_at + LEASE_S),
         ]
 
-    def loans(self) -> dict[str, int]:
+    def leased_units(self) -> dict[str, int]:
         """Return the units leased from other senders now, by lender."""
         now = self.clock.monotonic()
         current = {
@@ -258,7 +258,7 @@
         # A product such as 0.3 * 10 may be just below the whole number.
         return min(self.cap, max(1, int(self.fraction * self.cap + 1e-6)))
 
-    def observe(self, latency_ms: float, refusal_rate: float) -> None:
+    def adjust(self, latency_ms: float, refusal_rate: float) -> None:
         """Record the receiver's latency and refusal rate; halve the cap if too high."""
         self._step()
         self.latency_ms = latency_ms
--- a/ebonybend/steering/tests/test_lapsed.py
+++ b/ebonybend/steering/tests/test_lapsed.py
@@ -20,29 +20,36 @@
     """Guards against refusing all requests after an outage emptied the server list."""
 
     scenarios = [
-        ("store was always available", {"returned_at": None, "kept": False}),
-        ("store has just recovered", {"returned_at": NOW, "kept": True}),
-        ("grace is over", {"returned_at": NOW - RECOVERY_GRACE_S, "kept": False}),
-        ("was leaving", {"returned_at": NOW, "known": LEAVING, "kept": False}),
-        ("address is reused", {"returned_at": NOW, "listed": REUSED, "kept": False}),
+        ("store was always available", {"recovered_at": None, "retained": False}),
+        ("store has just recovered", {"recovered_at": NOW, "retained": True}),
+        ("grace is over", {"recovered_at": NOW - RECOVERY_GRACE_S, "retained": False}),
+        ("was leaving", {"recovered_at": NOW, "known": LEAVING, "retained": False}),
+        (
+            "address is reused",
+            {"recovered_at": NOW, "listed": REUSED, "retained": False},
+        ),
         (
             "another node reached the store throughout",
-            {"returned_at": NOW, "other_since": NOW - RECOVERY_GRACE_S, "kept": False},
+            {
+                "recovered_at": NOW,
+                "other_since": NOW - RECOVERY_GRACE_S,
+                "retained": False,
+            },
         ),
         (
             "another node reached it shortly before",
-            {"returned_at": NOW, "other_since": NOW - 1.0, "kept": True},
+            {"recovered_at": NOW, "other_since": NOW - 1.0, "retained": True},
         ),
         (
             "another node reached it before, and the store was always available",
-            {"returned_at": None, "other_since": NOW, "kept": False},
+            {"recovered_at": None, "other_since": NOW, "retained": False},
         ),
         (
             "the node counts as settled soon",
             {
-                "returned_at": NOW,
+                "recovered_at": NOW,
                 "unavailable_at": NOW - SETTLE_S + SETTLE_MARGIN_S,
-                "kept": False,
+                "retained": False,
             },
         ),
     ]
@@ -53,15 +60,17 @@
 
     def test_merge(self):
         expired = ExpiredServers()
-        if self.returned_at is not None:
+        if self.recovered_at is not None:
             unavailable_at = (
-                self.returned_at if self.unavailable_at is None else self.unavailable_at
+                self.recovered_at
+                if self.unavailable_at is None
+                else self.unavailable_at
             )
-            expired.record_store_recovery(self.returned_at, unavailable_at, SETTLE_S)
+            expired.record_store_recovery(self.recovered_at, unavailable_at, SETTLE_S)
         if self.other_since is not None:
             expired.record_store_available_since(self.other_since)
         merged = expired.merge(
             {"old": self.known}, {self.listed.name: self.listed}, NOW
         )
-        self.assertEqual(self.kept, "old" in merged)
+        self.assertEqual(self.retained, "old" in merged)
         self.assertIn(self.listed.name, merged)
--- a/ebonybend/steering/tests/test_placement.py
+++ b/ebonybend/steering/tests/test_placement.py
@@ -101,18 +101,18 @@
     """
 
     scenarios = [
-        ("free slot", {"load": SLOTS - 1, "taken": True}),
-        ("short wait", {"load": SLOTS + 2, "taken": True}),
-        ("late", {"load": SLOTS + 8, "mean_s": 0.3, "taken": False}),
+        ("free slot", {"load": SLOTS - 1, "accepted": True}),
+        ("short wait", {"load": SLOTS + 2, "accepted": True}),
+        ("late", {"load": SLOTS + 8, "mean_s": 0.3, "accepted": False}),
         ("less urgent", {"load": int(SLOTS * LOAD_LIMIT), "urgent": False}),
-        ("urgent", {"load": int(SLOTS * LOAD_LIMIT), "urgent": True, "taken": True}),
+        ("urgent", {"load": int(SLOTS * LOAD_LIMIT), "urgent": True, "accepted": True}),
         (
             "client retry with time remaining",
             {
                 "load": int(SLOTS * LOAD_LIMIT),
                 "urgent": False,
                 "retry_remaining_s": 0.5,
-                "taken": True,
+                "accepted": True,
             },
         ),
         (
@@ -121,21 +121,24 @@
                 "load": 2 * SLOTS,
                 "urgent": False,
                 "retry_remaining_s": 0.8,
-                "taken": True,
+                "accepted": True,
             },
         ),
         (
             "first attempt at a long queue",
             {"load": 2 * SLOTS, "urgent": False, "objective_s": 0.8},
         ),
-        ("slow server", {"load": 0, "slowness": 10.0, "taken": False}),
-        ("remote and slow", {"load": 0, "slowness": 2.5, "way_s": 0.1, "taken": False}),
+        ("slow server", {"load": 0, "slowness": 10.0, "accepted": False}),
+        (
+            "remote and slow",
+            {"load": 0, "slowness": 2.5, "round_trip_s": 0.1, "accepted": False},
+        ),
     ]
     urgent = True
-    taken = False
+    accepted = False
     mean_s = 0.05
     slowness = 1.0
-    way_s = 0.0
+    round_trip_s = 0.0
     retry_remaining_s = None
     objective_s = ROUTE.objective_s
 
@@ -146,14 +149,14 @@
         state.service_s = self.mean_s
         state.in_flight = self.load
         state.slowness = self.slowness
-        state.round_trip_s = self.way_s
+        state.round_trip_s = self.round_trip_s
         query = evolve(
             QUERY,
             urgent_route=None if self.urgent else URGENT,
             retry_remaining_s=self.retry_remaining_s,
             route=evolve(ROUTE, objective_s=self.objective_s),
         )
-        self.assertEqual(self.taken, chooser.choose(query, 0.0) is not None)
+        self.assertEqual(self.accepted, chooser.choose(query, 0.0) is not None)
 
 
 class UnknownTimesTest(TestCase):
--- a/ebonybend/steering/tests/test_regions.py
+++ b/ebonybend/steering/tests/test_regions.py
@@ -23,33 +23,41 @@
     scenarios = [
         (
             "capacity in the own region",
-            {"demand": {"k": 6}, "capacity": {"k": 10, "m": 20}, "home": 1.0},
+            {"demand": {"k": 6}, "capacity": {"k": 10, "m": 20}, "local_share": 1.0},
         ),
         (
             "unknown demand",
-            {"demand": {}, "capacity": {"k": 10, "m": 20}, "home": 1.0},
+            {"demand": {}, "capacity": {"k": 10, "m": 20}, "local_share": 1.0},
         ),
         (
             "excess moves",
-            {"demand": {"k": 14}, "capacity": {"k": 10, "m": 20}, "home": 0.5},
+            {"demand": {"k": 14}, "capacity": {"k": 10, "m": 20}, "local_share": 0.5},
         ),
         (
             "all regions are full",
-            {"demand": {"k": 20, "m": 30}, "capacity": {"k": 10, "m": 15}, "home": 1.0},
+            {
+                "demand": {"k": 20, "m": 30},
+                "capacity": {"k": 10, "m": 15},
+                "local_share": 1.0,
+            },
         ),
         (
             "more demand than slots",
-            {"demand": {"k": 30, "m": 0}, "capacity": {"k": 10, "m": 10}, "home": 0.5},
+            {
+                "demand": {"k": 30, "m": 0},
+                "capacity": {"k": 10, "m": 10},
+                "local_share": 0.5,
+            },
         ),
         (
             "no server in the own region",
-            {"demand": {"k": 5}, "capacity": {"m": 10, "n": 30}, "home": 0.0},
+            {"demand": {"k": 5}, "capacity": {"m": 10, "n": 30}, "local_share": 0.0},
         ),
     ]
 
     def test_target(self):
         shares = target_shares("k", self.demand, self.capacity)
-        self.assertAlmostEqual(self.home, shares.get("k", 0.0), 6)
+        self.assertAlmostEqual(self.local_share, shares.get("k", 0.0), 6)
         self.assertAlmostEqual(1.0, sum(shares.values()), 6)
 
 
--- a/ebonybend/steering/tests/test_retries.py
+++ b/ebonybend/steering/tests/test_retries.py
@@ -9,9 +9,12 @@
     """Guards against retries that amplify an overload, and against having none."""
 
     scenarios = [
-        ("quiet", {"rate": 0, "seconds": 10, "least": 30, "most": 33}),
-        ("slow", {"rate": 5, "seconds": 10, "least": 30, "most": 38}),
-        ("busy", {"rate": 1000, "seconds": 10, "least": 900, "most": 1033}),
+        ("quiet", {"rate": 0, "seconds": 10, "min_retries": 30, "max_retries": 33}),
+        ("slow", {"rate": 5, "seconds": 10, "min_retries": 30, "max_retries": 38}),
+        (
+            "busy",
+            {"rate": 1000, "seconds": 10, "min_retries": 900, "max_retries": 1033},
+        ),
     ]
 
     def test_retries_over_time(self):
@@ -24,8 +27,8 @@
                 budget.record_first_attempt()
             granted += budget.try_acquire()
             granted += budget.try_acquire()
-        self.assertGreaterEqual(granted, self.least)
-        self.assertLessEqual(granted, self.most)
+        self.assertGreaterEqual(granted, self.min_retries)
+        self.assertLessEqual(granted, self.max_retries)
 
     def test_idle_time_adds_no_budget(self):
         clock = ManualClock()
--- a/ebonybend/steering/tests/test_shared_rates.py
+++ b/ebonybend/steering/tests/test_shared_rates.py
@@ -100,10 +100,10 @@
     """
 
     scenarios = [
-        ("usual", {"deadline_s": 1.2, "returned": False}),
-        ("patient", {"deadline_s": 3.0, "returned": False}),
-        ("another common time", {"deadline_s": 0.6, "returned": False}),
-        ("client retry", {"deadline_s": 0.937, "returned": True}),
+        ("usual", {"deadline_s": 1.2, "is_retry": False}),
+        ("patient", {"deadline_s": 3.0, "is_retry": False}),
+        ("another common time", {"deadline_s": 0.6, "is_retry": False}),
+        ("client retry", {"deadline_s": 0.937, "is_retry": True}),
     ]
 
     def test_is_client_retry(self):
@@ -114,4 +114,4 @@
                 detector.is_client_retry("r", 3.0)
                 detector.is_client_retry("r", 0.6)
                 detector.is_client_retry("r", 0.8 + number / 10000)
-        self.assertEqual(self.returned, detector.is_client_retry("r", self.deadline_s))
+        self.assertEqual(self.is_retry, detector.is_client_retry("r", self.deadline_s))
--- a/ebonybend/steering/tests/test_shares.py
+++ b/ebonybend/steering/tests/test_shares.py
@@ -117,7 +117,7 @@
     def run_to(self, seconds, latency_ms=20.0, refusal_rate=0.0):
         for _ in range(seconds):
             self.clock.advance(1.0)
-            self.ramp.observe(latency_ms, refusal_rate)
+            self.ramp.adjust(latency_ms, refusal_rate)
 
     def test_ramp_reaches_the_cap(self):
         """Guards against a shift that sends all its traffic to cold caches at once."""
@@ -132,7 +132,7 @@
         for trouble in [{"latency_ms": 31.0}, {"refusal_rate": 0.06}]:
             self.ramp = Ramp(100, self.clock)
             self.run_to(4)
-            self.ramp.observe(**{"latency_ms": 20.0, "refusal_rate": 0.0, **trouble})
+            self.ramp.adjust(**{"latency_ms": 20.0, "refusal_rate": 0.0, **trouble})
             self.assertEqual(25, self.ramp.current())
             self.run_to(4, **trouble)
             self.assertEqual(25, self.ramp.current())
--- a/ebonybend/tests/test_logs.py
+++ b/ebonybend/tests/test_logs.py
@@ -3,11 +3,11 @@
 
 from testtools import TestCase
 
-from ebonybend.logs import LossyFile
+from ebonybend.logs import NonBlockingLogFile
 from ebonybend.node.decisions import MAX_ANSWER_LINES_PER_S, LineBudget
 
 
-class LossyFileTest(TestCase):
+class NonBlockingLogFileTest(TestCase):
     """Guards against a process that blocks because nothing reads its log."""
 
     def setUp(self):
@@ -17,7 +17,7 @@
         self.addCleanup(os.close, self.writer)
 
     def test_writes_do_not_block_after_the_reader_stops(self):
-        file = LossyFile(self.writer)
+        file = NonBlockingLogFile(self.writer)
         line = "x" * 999 + "\n"
         for _ in range(200):
             file.write(line)
@@ -29,7 +29,7 @@
         self.assertEqual({999}, {len(found) for found in lines})
 
     def test_lines_are_complete_after_the_reader_resumes(self):
-        file = LossyFile(self.writer)
+        file = NonBlockingLogFile(self.writer)
         for _ in range(100):
             file.write("a" * 1500 + "\n")
         os.read(self.reader, 1 << 20)
--- a/ebonybend/tool/context.py
+++ b/ebonybend/tool/context.py
@@ -10,9 +10,9 @@
 from ebonybend.tool.options import Options
 
 # Exit statuses of the tool.
-DONE = 0
-REFUSED = 1
-UNREACHABLE_OR_USAGE = 2
+EXIT_DONE = 0
+EXIT_REFUSED = 1
+EXIT_UNREACHABLE_OR_USAGE = 2
 
 
 @frozen
@@ -25,7 +25,7 @@
     sleep: Callable[[float], None]
     new_change_id: Callable[[], str]
     # Prints a line about progress while the verb runs.
-    progress: Callable[[str], None]
+    report_progress: Callable[[str], None]
     read_file: Callable[[str], str]
 
     @property
--- a/ebonybend/tool/edit_verbs.py
+++ b/ebonybend/tool/edit_verbs.py
@@ -26,7 +26,7 @@
 from ebonybend.rules.syntax import read_fingerprint, read_name, read_time
 from ebonybend.tool.admin_client import Change
 from ebonybend.tool.confirm import confirmation_lines, wait_until_in_force
-from ebonybend.tool.context import DONE, REFUSED, Context, VerbResult
+from ebonybend.tool.context import EXIT_DONE, EXIT_REFUSED, Context, VerbResult
 from ebonybend.tool.options import bad_setting, usage_error
 from ebonybend.tool.submit import (
     ChangeResult,
@@ -93,7 +93,7 @@
             return confirm_change(context, result.unwrap(), changes)
         if delay is None or not is_conflict(result):
             return refused_result(result.failure(), answer.revision, "edited rules")
-        context.progress("another change was accepted first; trying again")
+        context.report_progress("another change was accepted first; trying again")
         context.sleep(delay)
         # A refused change had no effect, so the retry is a new change.
         change_id = context.new_change_id()
@@ -103,7 +103,7 @@
 def _confirm_unchanged(context: Context, answer: RulesAnswer, why: str) -> VerbResult:
     """Report that no change is needed and whether the rules are in force."""
     confirmation = wait_until_in_force(context, answer.revision)
-    status = DONE if confirmation.in_force_everywhere else REFUSED
+    status = EXIT_DONE if confirmation.in_force_everywhere else EXIT_REFUSED
     value = ChangeResult(True, answer.revision, answer.change_id, (), confirmation)
     return VerbResult(status, (why, *confirmation_lines(confirmation)), value)
 
--- a/ebonybend/tool/options.py
+++ b/ebonybend/tool/options.py
@@ -24,7 +24,7 @@
     verb: str | None
     operands: tuple[str, ...]
     # Names of the flags given on the command line.
-    given: frozenset[str]
+    given_flags: frozenset[str]
     admin: tuple[str, ...]
     json: bool
     help: bool
@@ -128,12 +128,15 @@
     except flags.Error as error:
         raise usage_error(str(error)) from error
     _check_values(values)
-    given = frozenset(name for name in values if values[name].present)
+    given_flags = frozenset(name for name in values if values[name].present)
     option_values = {name: values[name].value for name in values}
     option_values["admin"] = tuple(option_values["admin"])
     verb = positional[0] if positional else None
     options = Options(
-        verb=verb, operands=tuple(positional[1:]), given=given, **option_values
+        verb=verb,
+        operands=tuple(positional[1:]),
+        given_flags=given_flags,
+        **option_values,
     )
     return options, values
 
--- a/ebonybend/tool/rules_verbs.py
+++ b/ebonybend/tool/rules_verbs.py
@@ -9,7 +9,7 @@
 from ebonybend.control.admin_messages import RulesAnswer
 from ebonybend.rules import RuleError, check_rules, diff_rules, parse_rules
 from ebonybend.tool.admin_client import Change
-from ebonybend.tool.context import DONE, REFUSED, Context, VerbResult
+from ebonybend.tool.context import EXIT_DONE, EXIT_REFUSED, Context, VerbResult
 from ebonybend.tool.files import RulesFile, add_header, split_header
 from ebonybend.tool.options import usage_error
 from ebonybend.tool.submit import (
@@ -47,8 +47,8 @@
     rule_count, errors = _file_errors(context, file)
     value = CheckResult(name, rule_count, errors)
     if errors:
-        return VerbResult(REFUSED, error_lines(name, errors), value)
-    return VerbResult(DONE, (f"{name}: {rule_count} rules, no errors",), value)
+        return VerbResult(EXIT_REFUSED, error_lines(name, errors), value)
+    return VerbResult(EXIT_DONE, (f"{name}: {rule_count} rules, no errors",), value)
 
 
 def _file_errors(
@@ -71,9 +71,9 @@
 def show(context: Context) -> VerbResult:
     """Show the rules that were accepted last."""
     answer = context.client.get_rules()
-    context.progress(_revision_line(answer))
+    context.report_progress(_revision_line(answer))
     lines = add_header(answer.text, answer.revision).removesuffix("\n").split("\n")
-    return VerbResult(DONE, tuple(lines), answer)
+    return VerbResult(EXIT_DONE, tuple(lines), answer)
 
 
 def _revision_line(answer: RulesAnswer) -> str:
@@ -96,7 +96,7 @@
             f"{answer.revision} by {answer.author} ({answer.reason}) is newer"
         )
         lines = (*lines, warning)
-    return VerbResult(DONE, lines, DiffResult(answer.revision, base, changes))
+    return VerbResult(EXIT_DONE, lines, DiffResult(answer.revision, base, changes))
 
 
 def apply(context: Context) -> VerbResult:
@@ -113,7 +113,7 @@
     _, errors = _file_errors(context, file)
     if errors:
         value = CheckResult(name, 0, errors)
-        return VerbResult(REFUSED, error_lines(name, errors), value)
+        return VerbResult(EXIT_REFUSED, error_lines(name, errors), value)
     changes = _changes_from_base(context, base, file)
     change_id = options.change_id or context.new_change_id()
     result = submit(context, Change(file.text, base, author, reason, change_id))
--- a/ebonybend/tool/state_verbs.py
+++ b/ebonybend/tool/state_verbs.py
@@ -5,7 +5,7 @@
 
 from ebonybend.control.admin_messages import StatusAnswer, WhereAnswer
 from ebonybend.tool.confirm import classify_instances, confirmation_lines
-from ebonybend.tool.context import DONE, REFUSED, Context, VerbResult
+from ebonybend.tool.context import EXIT_DONE, EXIT_REFUSED, Context, VerbResult
 from ebonybend.tool.options import usage_error
 
 
@@ -22,7 +22,9 @@
         *_suspect_lines(answer),
     ]
     return VerbResult(
-        DONE if confirmation.in_force_everywhere else REFUSED, tuple(lines), answer
+        EXIT_DONE if confirmation.in_force_everywhere else EXIT_REFUSED,
+        tuple(lines),
+        answer,
     )
 
 
@@ -41,7 +43,7 @@
         for entry in answer.entries
     ]
     headings = ("TIME (UTC)", "REVISION", "EVENT", "AUTHOR", "REASON", "DETAIL")
-    return VerbResult(DONE, tuple(format_table(headings, rows)), answer)
+    return VerbResult(EXIT_DONE, tuple(format_table(headings, rows)), answer)
 
 
 def where(context: Context) -> VerbResult:
@@ -52,7 +54,7 @@
     answer = context.client.get_where(
         client=options.client, service=options.service, method=options.method
     )
-    return VerbResult(DONE, tuple(_where_lines(answer)), answer)
+    return VerbResult(EXIT_DONE, tuple(_where_lines(answer)), answer)
 
 
 def format_table(headings: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
--- a/ebonybend/tool/submit.py
+++ b/ebonybend/tool/submit.py
@@ -8,7 +8,7 @@
 from ebonybend.rules import RuleError
 from ebonybend.tool.admin_client import Change
 from ebonybend.tool.confirm import Confirmation, confirmation_lines, wait_until_in_force
-from ebonybend.tool.context import DONE, REFUSED, Context, VerbResult
+from ebonybend.tool.context import EXIT_DONE, EXIT_REFUSED, Context, VerbResult
 from ebonybend.tool.options import usage_error
 
 # Delays before each retry of a change whose answer was lost.
@@ -51,7 +51,7 @@
                 raise
             if delay is None:
                 raise _unknown_outcome_error(change, error) from error
-            context.progress(f"no answer ({error.message}); asking again")
+            context.report_progress(f"no answer ({error.message}); asking again")
             context.sleep(delay)
     raise AssertionError("the last try returns or raises")
 
@@ -69,9 +69,9 @@
 ) -> VerbResult:
     """Wait until an accepted change is in force and return its result."""
     revision, change_id = answer.revision, answer.change_id
-    context.progress(f"accepted as revision {revision} (change {change_id})")
+    context.report_progress(f"accepted as revision {revision} (change {change_id})")
     confirmation = wait_until_in_force(context, revision)
-    status = DONE if confirmation.in_force_everywhere else REFUSED
+    status = EXIT_DONE if confirmation.in_force_everywhere else EXIT_REFUSED
     value = ChangeResult(True, revision, change_id, changes, confirmation)
     return VerbResult(status, (*changes, *confirmation_lines(confirmation)), value)
 
@@ -84,7 +84,7 @@
         return _conflict_result(failure, base)
     errors = tuple(evolve(e, line=e.line + header_lines) for e in failure.errors)
     value = ChangeResult(False, errors=errors)
-    return VerbResult(REFUSED, error_lines(name, errors), value)
+    return VerbResult(EXIT_REFUSED, error_lines(name, errors), value)
 
 
 def error_lines(name: str, errors: tuple[RuleError, ...]) -> tuple[str, ...]:
@@ -102,7 +102,7 @@
         "nothing was changed; get the newest rules with `ebonybend show`, make your "
         "change again and apply it",
     )
-    return VerbResult(REFUSED, lines, ChangeResult(False, conflict=conflict))
+    return VerbResult(EXIT_REFUSED, lines, ChangeResult(False, conflict=conflict))
 
 
 def is_conflict(result: Result) -> bool:
--- a/ebonybend/tool/tests/test_docs.py
+++ b/ebonybend/tool/tests/test_docs.py
@@ -42,5 +42,5 @@
             options, _ = parse_options(shlex.split(command)[1:], {})
             verb = VERBS[options.verb]
             self.assertEqual(bool(verb.operand), bool(options.operands), example)
-            unknown = options.given - set(allowed_flags(verb))
+            unknown = options.given_flags - set(allowed_flags(verb))
             self.assertEqual(frozenset(), unknown, example)
