--- a/bench/addresses.py
+++ b/bench/addresses.py
@@ -49,7 +49,7 @@
         names = [x.name for x in self.plan.deployment.failure_domains]
         return f"127.{self.fleet}.{names.index(domain) + 1}."
 
-    def caller_network(self, region: str) -> str:
+    def client_network(self, region: str) -> str:
         """Return the address prefix of a region's clients, with a trailing dot."""
         names = [x.name for x in self.plan.deployment.regions]
         return f"127.{self.fleet}.{CLIENT_NETWORK + names.index(region)}."
@@ -200,7 +200,7 @@
                 rules.append(
                     ProxyRule(
                         name=f"latency callers {region.name} {domain.name}",
-                        source=self.caller_network(region.name),
+                        source=self.client_network(region.name),
                         target=self.domain_network(domain.name),
                         delay_ms=self.plan.client_latency_ms + link_latency_ms,
                     )
--- a/bench/caller.py
+++ b/bench/caller.py
@@ -42,7 +42,7 @@
 
 
 @frozen
-class Wanted:
+class PlannedOperation:
     """A read or write to be performed, by one or more attempts."""
 
     name: str
@@ -85,7 +85,7 @@
         return bool(self.attempts) and self.attempts[-1].status in FINAL_STATUSES
 
 
-class Caller:
+class LoadClient:
     """A client with its own address, lookup cache and connections."""
 
     def __init__(self, reactor: Any, load: RegionLoad, index: int):
@@ -96,7 +96,7 @@
         client = load.clients[index]
         self.lookups = LookupCache(SystemClock(), self.http, load.seeds, client)
 
-    async def perform(self, planned: Wanted) -> Operation:
+    async def perform(self, planned: PlannedOperation) -> Operation:
         """Send a request, with retries, until its result is final or time is up."""
         history = AttemptHistory()
         while self._remaining_s(planned) > MIN_ATTEMPT_S:
@@ -111,7 +111,7 @@
                 await sleep(self.reactor, RETRY_DELAY_S)
         return self._operation(planned, history)
 
-    def _remaining_s(self, planned: Wanted) -> float:
+    def _remaining_s(self, planned: PlannedOperation) -> float:
         return planned.deadline - monotonic()
 
     async def _candidates(self, history: AttemptHistory) -> tuple[ListedInstance, ...]:
@@ -122,7 +122,7 @@
         last_instance = history.attempts[-1].instance
         return tuple(sorted(listed, key=lambda x: x.name == last_instance))
 
-    def _attempt_timeout_s(self, planned: Wanted) -> float:
+    def _attempt_timeout_s(self, planned: PlannedOperation) -> float:
         """Return the timeout of one attempt in seconds."""
         remaining_s = self._remaining_s(planned)
         if planned.is_write:
@@ -132,7 +132,7 @@
         )
 
     async def _wait_before_retry(
-        self, planned: Wanted, history: AttemptHistory
+        self, planned: PlannedOperation, history: AttemptHistory
     ) -> None:
         """Wait for the delay that the last answer requests, within the deadline."""
         delay_s = history.attempts[-1].retry_after_ms / 1000
@@ -144,7 +144,10 @@
             )
 
     async def _attempt(
-        self, planned: Wanted, history: AttemptHistory, instance: ListedInstance
+        self,
+        planned: PlannedOperation,
+        history: AttemptHistory,
+        instance: ListedInstance,
     ) -> None:
         at = monotonic()
         request_id = f"{planned.name}.{len(history.attempts) + 1}"
@@ -170,14 +173,21 @@
             history.bound_key = ""
 
     def _key(
-        self, planned: Wanted, history: AttemptHistory, instance: ListedInstance
+        self,
+        planned: PlannedOperation,
+        history: AttemptHistory,
+        instance: ListedInstance,
     ) -> str:
         if not planned.is_write:
             return ""
         return history.bound_key or f"{instance.key_prefix}~{planned.name}"
 
     async def _send(
-        self, planned: Wanted, instance: ListedInstance, request_id: str, key: str
+        self,
+        planned: PlannedOperation,
+        instance: ListedInstance,
+        request_id: str,
+        key: str,
     ) -> HttpAnswer:
         timeout_s = self._attempt_timeout_s(planned)
         headers = {
@@ -198,7 +208,7 @@
 
     def _evaluate_answer(
         self,
-        planned: Wanted,
+        planned: PlannedOperation,
         history: AttemptHistory,
         attempt: Attempt,
         answer: HttpAnswer,
@@ -222,7 +232,9 @@
             and answer.header("Request-Id") is not None,
         )
 
-    def _operation(self, planned: Wanted, history: AttemptHistory) -> Operation:
+    def _operation(
+        self, planned: PlannedOperation, history: AttemptHistory
+    ) -> Operation:
         results = {"answered": "whole", "lost": "unknown", "not_sent": "not_run"}
         result = results.get(history.last_result, history.last_result)
         if result == "whole" and history.fault:
@@ -245,7 +257,7 @@
         )
 
 
-def _may_have_run(planned: Wanted, history: AttemptHistory) -> bool:
+def _may_have_run(planned: PlannedOperation, history: AttemptHistory) -> bool:
     """Return whether any attempt may have run although the last one did not."""
     if not planned.is_write and history.last_result != "not_sent":
         # The recorded result of a read is that of its last attempt.
@@ -258,7 +270,7 @@
     return False
 
 
-def find_answer_fault(planned: Wanted, answer: HttpAnswer) -> str:
+def find_answer_fault(planned: PlannedOperation, answer: HttpAnswer) -> str:
     """Return why an answer is not the whole answer to the request, or ""."""
     echo = read_answer(answer.body)
     if answer.status != 200 or echo is None:
@@ -289,7 +301,7 @@
         """Send requests for the planned time, then wait for the last answers."""
         for load in self.plan.regions:
             numbers = range(len(load.callers))
-            clients = [Caller(self.reactor, load, x) for x in numbers]
+            clients = [LoadClient(self.reactor, load, x) for x in numbers]
             for traffic in load.traffic:
                 self._schedule(clients, traffic, monotonic())
         await sleep(self.reactor, self.plan.duration_s)
@@ -298,7 +310,7 @@
         self.records.flush()
 
     def _schedule(
-        self, clients: list[Caller], traffic: Traffic, previous: float
+        self, clients: list[LoadClient], traffic: Traffic, previous: float
     ) -> None:
         """Schedule the next request, whether or not earlier ones have ended."""
         if traffic.rate <= 0:
@@ -309,21 +321,21 @@
             self.reactor.callLater(delay, self._start_operation, clients, traffic, at)
 
     def _start_operation(
-        self, clients: list[Caller], traffic: Traffic, at: float
+        self, clients: list[LoadClient], traffic: Traffic, at: float
     ) -> None:
         self._schedule(clients, traffic, at)
         client = self.random.choice(clients)
         Deferred.fromCoroutine(self._perform(client, self._plan_operation(traffic, at)))
 
-    def _plan_operation(self, traffic: Traffic, at: float) -> Wanted:
+    def _plan_operation(self, traffic: Traffic, at: float) -> PlannedOperation:
         self.operation_count += 1
         name = f"{self.plan.seed}-{self.operation_count}"
         size = self.random.randint(traffic.smallest_answer, traffic.largest_answer)
         path = f"{traffic.path}?op={name}&size={size}"
         body = f"body of {name}".encode() if traffic.method == "POST" else b""
-        return Wanted(name, traffic, path, body, at)
+        return PlannedOperation(name, traffic, path, body, at)
 
-    async def _perform(self, client: Caller, planned: Wanted) -> None:
+    async def _perform(self, client: LoadClient, planned: PlannedOperation) -> None:
         self.in_flight += 1
         try:
             operation = await client.perform(planned)
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -13,7 +13,7 @@
 from bench.http_calls import call
 from bench.load import LoadShape, Operation
 from bench.lookup_cache import LookupAnswer
-from bench.playing import check_run, play
+from bench.playing import check_run, start_load
 from bench.rules_tool import apply_rules
 from bench.tables import HEADINGS, format_table, operation_rows
 from ebonybend.codec import from_json
@@ -106,7 +106,7 @@
     queried, killed = fleet.plan.instances[:2]
     sleep(BEFORE_KILL_S)
     fleet.kill_instance(killed)
-    fleet.unlist_instance(killed)
+    fleet.deregister_instance(killed)
     timings.unlisted_s = wait_until_unlisted(fleet, killed, queried)
     sleep(BEFORE_DRAIN_S)
     fleet.drain_server(busy_server(fleet))
@@ -175,7 +175,7 @@
         started = monotonic()
         apply_rules(admin, rules_path(plan), AUTHOR, "first rules")
         timings.rules_in_force_s = monotonic() - started
-        load = play(fleet, SHAPE, LOAD_S)
+        load = start_load(fleet, SHAPE, LOAD_S)
         inject_events(fleet, timings)
         load.wait()
         measure_drain(fleet, timings)
--- a/bench/figures/cap.py
+++ b/bench/figures/cap.py
@@ -9,7 +9,7 @@
 from bench.fleet import Fleet, FleetOptions
 from bench.history import read_server_events
 from bench.load import LoadShape
-from bench.playing import PlayedLoad, play
+from bench.playing import LoadRun, start_load
 from bench.rules_tool import apply_rules
 from standins.platform import PlatformFaults
 
@@ -25,7 +25,7 @@
 TARGET_MEAN_USE = 0.85
 
 
-def moved_arrivals(fleet: Fleet, load: PlayedLoad) -> list[float]:
+def moved_arrivals(fleet: Fleet, load: LoadRun) -> list[float]:
     """Return the times at which moved requests reached servers of the target region.
 
     Moved requests are those that clients sent to entries of the source region. Requests
@@ -73,10 +73,10 @@
     """Measure the mean use of the cap and its peak, without and with faults."""
     with Fleet(blue_mahoe(), FleetOptions()) as fleet:
         write_shift(fleet)
-        load = play(fleet, LOAD_SHAPE, LOAD_S, seed)
+        load = start_load(fleet, LOAD_SHAPE, LOAD_S, seed)
         load.wait()
         undisturbed = moved_arrivals(fleet, load)
-        load = play(fleet, LOAD_SHAPE, LOAD_S, seed + 1)
+        load = start_load(fleet, LOAD_SHAPE, LOAD_S, seed + 1)
         _inject_faults(fleet)
         load.wait()
         disturbed = moved_arrivals(fleet, load)
--- a/bench/figures/overload.py
+++ b/bench/figures/overload.py
@@ -8,7 +8,7 @@
 from bench.figures.figure import Figure
 from bench.fleet import Fleet, FleetOptions
 from bench.load import LoadShape
-from bench.playing import check_run, play
+from bench.playing import check_run, start_load
 
 DOMAINS = ("kingston-1", "montego-1")
 # Long, so that the single client process does not limit the rate.
@@ -31,7 +31,7 @@
     """Return the complete answers per second at a multiple of the capacity."""
     rate = capacity_per_s(fleet) * factor / REGIONS
     shape = LoadShape(read_rate=rate, write_rate=rate, deadline_ms=2000)
-    load = play(fleet, shape, LOAD_S, seed)
+    load = start_load(fleet, shape, LOAD_S, seed)
     load.wait()
     report = check_run(fleet, [load])
     if not report.ok:
--- a/bench/figures/recovery.py
+++ b/bench/figures/recovery.py
@@ -9,7 +9,7 @@
 from bench.fleet import Fleet, FleetOptions
 from bench.history import read_server_events
 from bench.load import LoadShape, Operation
-from bench.playing import check_run, play
+from bench.playing import check_run, start_load
 from standins.server_history import ServerEvent
 
 LOAD_SHAPE = LoadShape(read_rate=40.0, write_rate=10.0)
@@ -62,7 +62,7 @@
 def _measure_plan(plan: DeploymentPlan, seed: int) -> Iterator[Figure]:
     suffix = plan.name.replace("-", "_")
     with Fleet(plan, FleetOptions(service_ms=SERVICE_MS)) as fleet:
-        load = play(fleet, LOAD_SHAPE, LOAD_S, seed)
+        load = start_load(fleet, LOAD_SHAPE, LOAD_S, seed)
         sleep(BEFORE_DRAIN_S)
         drained_server = busy_server(fleet)
         fleet.drain_server(drained_server)
@@ -74,7 +74,7 @@
         killed_instance = fleet.plan.instances[2]
         killed_at = monotonic()
         fleet.kill_instance(killed_instance)
-        fleet.unlist_instance(killed_instance)
+        fleet.deregister_instance(killed_instance)
         load.wait()
         report = check_run(fleet, [load])
         operations = load.operations()
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -127,7 +127,7 @@
         self.write_object("deployment", "main", self.plan.deployment)
         self._write_client_map()
         for server in self.plan.servers:
-            self.list_server(server.name, LifeState.LIVE)
+            self.register_server(server.name, LifeState.LIVE)
 
     def _write_client_map(self) -> None:
         sites = tuple(x.name for x in self.plan.deployment.failure_domains)
@@ -282,7 +282,7 @@
         instance = Instance(name, domain.name, address, state)
         self.write_object("instance", name, instance)
 
-    def list_server(self, name: str, state: LifeState) -> None:
+    def register_server(self, name: str, state: LifeState) -> None:
         """Register a backend server with the platform."""
         server = next(x for x in self.plan.servers if x.name == name)
         address = self.addresses.server(name).advertise
@@ -326,7 +326,7 @@
         for role in ROLES:
             self.processes.signal(f"{name}-{role}", signal.SIGCONT)
 
-    def unlist_instance(self, name: str) -> None:
+    def deregister_instance(self, name: str) -> None:
         """Remove a terminated instance from the platform."""
         self.record_event("unlist_instance", name)
         self.delete_object("instance", name)
@@ -341,7 +341,7 @@
         for process in names:
             self.processes.terminate(process)
         statuses = {x: self.processes.wait(x, timeout_s) for x in names}
-        self.unlist_instance(name)
+        self.deregister_instance(name)
         return statuses
 
     def set_server_faults(self, name: str, faults: ServerFaults) -> None:
@@ -352,7 +352,7 @@
         """Drain a backend server and register it as leaving."""
         self.record_event("drain_server", name)
         self.set_server_faults(name, ServerFaults(draining=True))
-        self.list_server(name, LifeState.LEAVING)
+        self.register_server(name, LifeState.LEAVING)
 
     def remove_server(self, name: str) -> None:
         """Kill a backend server and remove it from the platform."""
--- a/bench/hops.py
+++ b/bench/hops.py
@@ -28,9 +28,7 @@
         fleet.set_server_faults(server, faults)
 
 
-def hop_everything(
-    fleet: Fleet, service: str, domain: str, instance: str, to: str
-) -> None:
+def force_hops(fleet: Fleet, service: str, domain: str, instance: str, to: str) -> None:
     """Drain a service in a domain; return when an instance only uses another domain."""
     set_domain_faults(fleet, service, domain, ServerFaults(draining=True))
     names = service_servers(fleet, service, to)
@@ -49,7 +47,7 @@
     fleet.wait_until(uses_target_domain, "hops")
 
 
-def hop_nothing(fleet: Fleet, service: str, domain: str, instance: str) -> None:
+def end_hops(fleet: Fleet, service: str, domain: str, instance: str) -> None:
     """End the drain; return when the domain serves its own requests again."""
     set_domain_faults(fleet, service, domain, ServerFaults())
     names = service_servers(fleet, service, domain)
--- a/bench/keyed.py
+++ b/bench/keyed.py
@@ -9,7 +9,7 @@
 
 from attrs import define, evolve, field
 
-from bench.caller import VALID_OUTCOMES, Wanted, find_answer_fault
+from bench.caller import VALID_OUTCOMES, PlannedOperation, find_answer_fault
 from bench.fleet import Fleet
 from bench.history import Report, check, read_server_events
 from bench.http_calls import CallAnswer, must_call
@@ -29,7 +29,7 @@
 class KeyedRequest:
     """A write, its key, and the attempts for all copies that were sent."""
 
-    planned: Wanted
+    planned: PlannedOperation
     key: str
     attempts: list[Attempt] = field(factory=list)
     fault: str = ""
@@ -52,7 +52,7 @@
         return "not_run" if none_ran else "unknown"
 
 
-class KeyedCaller:
+class KeyedClient:
     """A client that sends each copy of a request to a chosen entry."""
 
     def __init__(self, fleet: Fleet, case: str, service: str, region: str):
@@ -60,7 +60,7 @@
         self.case = case
         self.region = region
         self.traffic = Traffic(service, "POST", 0.0, "/file")
-        network = fleet.addresses.caller_network(region)
+        network = fleet.addresses.client_network(region)
         self.source = f"{network}{CLIENT_NUMBER}"
         self.requests: list[KeyedRequest] = []
         self.pool = ThreadPoolExecutor(MAX_CONCURRENT_COPIES)
@@ -82,7 +82,7 @@
             name = f"{self.case}-{len(self.requests) + 1}"
             path = f"/file?op={name}&size={size}&service_ms={service_ms}"
             body = f"body of {name}".encode()
-            planned = Wanted(name, self.traffic, path, body, monotonic())
+            planned = PlannedOperation(name, self.traffic, path, body, monotonic())
             created.append(KeyedRequest(planned, f"{prefix}~{name}"))
             self.requests.append(created[-1])
         return created
--- a/bench/load.py
+++ b/bench/load.py
@@ -112,7 +112,7 @@
     # Mean requests per second per region and service.
     read_rate: float = 8.0
     write_rate: float = 4.0
-    callers_per_region: int = 4
+    clients_per_region: int = 4
     deadline_ms: int = 2000
     # Services that receive requests; all if empty.
     services: tuple[str, ...] = field(default=())
@@ -133,7 +133,7 @@
 
 def _region_load(addresses: AddressPlan, shape: LoadShape, region: str) -> RegionLoad:
     plan = addresses.plan
-    numbers = range(1, shape.callers_per_region + 1)
+    numbers = range(1, shape.clients_per_region + 1)
     client_roles = plan.client_roles or ("caller",)
     names = (
         f"{region}-{client_roles[x % len(client_roles)]}-{x}".replace(" ", "-")
@@ -144,7 +144,7 @@
     return RegionLoad(
         region,
         tuple(names),
-        tuple(f"{addresses.caller_network(region)}{x}" for x in numbers),
+        tuple(f"{addresses.client_network(region)}{x}" for x in numbers),
         tuple(addresses.client_ip(region, x) for x in numbers),
         tuple(addresses.public(x).advertise for x in (*local, *remote)),
         tuple(
--- a/bench/playing.py
+++ b/bench/playing.py
@@ -16,7 +16,7 @@
 
 
 @frozen
-class PlayedLoad:
+class LoadRun:
     """A load that runs, or has run, in a client process."""
 
     fleet: Fleet
@@ -39,9 +39,9 @@
         return list(read_operations(self.records))
 
 
-def play(
+def start_load(
     fleet: Fleet, shape: LoadShape, duration_s: float, seed: int = 1
-) -> PlayedLoad:
+) -> LoadRun:
     """Start a client process that generates the load of all regions."""
     name = f"callers-{seed}"
     records = fleet.directory / f"{name}.records.jsonl"
@@ -50,10 +50,10 @@
     path = fleet.directory / f"{name}.plan.json"
     path.write_bytes(to_json(plan))
     fleet.processes.start(ProcessSpec(name, "bench.caller", (str(path),)))
-    return PlayedLoad(fleet, name, records, duration_s)
+    return LoadRun(fleet, name, records, duration_s)
 
 
-def check_run(fleet: Fleet, loads: list[PlayedLoad]) -> Report:
+def check_run(fleet: Fleet, loads: list[LoadRun]) -> Report:
     """Check the records of clients against the histories of backend servers."""
     operations = [x for load in loads for x in load.operations()]
     events = read_server_events(fleet.server_histories())
--- a/bench/raw_reads.py
+++ b/bench/raw_reads.py
@@ -6,7 +6,7 @@
 
 from attrs import frozen
 
-from bench.caller import VALID_OUTCOMES, Wanted, find_answer_fault
+from bench.caller import VALID_OUTCOMES, PlannedOperation, find_answer_fault
 from bench.fleet import Fleet
 from bench.history import Report, check, read_server_events
 from bench.http_calls import CallAnswer
@@ -43,7 +43,7 @@
         self.case = case
         self.region = region
         self.traffic = Traffic(service, "GET", 0.0, "/item")
-        self.source = f"{fleet.addresses.caller_network(region)}{CLIENT_NUMBER}"
+        self.source = f"{fleet.addresses.client_network(region)}{CLIENT_NUMBER}"
         self.operations: list[Operation] = []
 
     def exchange(self, instance: str, reads: Iterable[RawRead]) -> None:
@@ -61,12 +61,12 @@
                 for planned in planned_reads:
                     self._record_operation(planned, instance, _read_answer(stream))
 
-    def _plan_read(self, number: int, read: RawRead) -> Wanted:
+    def _plan_read(self, number: int, read: RawRead) -> PlannedOperation:
         name = f"{self.case}-{number}"
         path = f"/item?op={name}&size={read.size}&service_ms={read.service_ms}"
-        return Wanted(name, self.traffic, path, b"", monotonic())
+        return PlannedOperation(name, self.traffic, path, b"", monotonic())
 
-    def _encode_request(self, planned: Wanted, read: RawRead) -> bytes:
+    def _encode_request(self, planned: PlannedOperation, read: RawRead) -> bytes:
         lines = (
             f"GET /s/{self.traffic.service}{planned.path} HTTP/1.1",
             "Host: entry",
@@ -76,7 +76,7 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
     def _record_operation(
-        self, planned: Wanted, instance: str, answer: RawAnswer | None
+        self, planned: PlannedOperation, instance: str, answer: RawAnswer | None
     ) -> None:
         result: AttemptResult = "lost"
         status, error, fault = 0, "", ""
@@ -112,7 +112,9 @@
         return check(self.operations, events)
 
 
-def _evaluate_answer(planned: Wanted, answer: RawAnswer) -> tuple[AttemptResult, str]:
+def _evaluate_answer(
+    planned: PlannedOperation, answer: RawAnswer
+) -> tuple[AttemptResult, str]:
     """Return the result of an answer, and why it is wrong or ""."""
     if answer.headers.get("request-id") != f"{planned.name}.1":
         return "answered", f"answer to request {answer.headers.get('request-id')}"
--- a/bench/revisions.py
+++ b/bench/revisions.py
@@ -90,12 +90,12 @@
         else:
             process_samples[-1].until = poll_started_at
 
-    def reached(self, process: str, revision: int) -> float | None:
+    def first_seen_at(self, process: str, revision: int) -> float | None:
         """Return when a process first reported a revision or a later one, or None."""
         process_samples = self.samples.get(process, [])
         return next((x.at for x in process_samples if x.revision >= revision), None)
 
-    def lacked(self, process: str, revision: int) -> float:
+    def last_missing_at(self, process: str, revision: int) -> float:
         """Return the last time at which a process certainly had an older revision."""
         process_samples = self.samples.get(process, [])
         return max(
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -14,12 +14,12 @@
 from bench.fleet import Fleet, FleetOptions
 from bench.history import Report, check, read_server_events
 from bench.load import LoadShape
-from bench.playing import PlayedLoad, play
+from bench.playing import LoadRun, start_load
 from bench.revisions import RevisionWatch
 from bench.rules_tool import apply_rules
 from bench.soak_checks import (
     late_work,
-    most_moved,
+    max_moved,
     moved_request_spans,
     not_converged,
 )
@@ -50,7 +50,7 @@
     faults: list[PlannedFault]
     report: Report
     # Largest number of capped requests moved between regions in one window.
-    most_moved: int = 0
+    max_moved: int = 0
     changes: int = 0
     violations: list[str] = field(factory=list)
 
@@ -84,7 +84,7 @@
     options = FleetOptions(directory=directory, daemon_flags=daemon_flags)
     with Fleet(plan, options) as fleet, RevisionWatch(fleet) as watch:
         _apply_first_rules(fleet)
-        load = play(fleet, SHAPE, seconds, seed)
+        load = start_load(fleet, SHAPE, seconds, seed)
         runner, operators = FaultRunner(fleet, faults), Operators(fleet, seed)
         started = monotonic()
         runner.start()
@@ -109,7 +109,7 @@
 
 def _check(
     fleet: Fleet,
-    load: PlayedLoad,
+    load: LoadRun,
     runner: FaultRunner,
     operators: Operators,
     seed: int,
@@ -121,9 +121,9 @@
     result.violations += _violation_lines(result.report)
     late = late_work(events, [*runner.leaving, *operators.leaving])
     result.violations += [f"late work: {x}" for x in late]
-    result.most_moved = _max_moved(fleet, operations, events)
-    if result.most_moved > SHIFT_CAP:
-        result.violations.append(f"cap {SHIFT_CAP}/s: {result.most_moved} in 1 s")
+    result.max_moved = _max_moved(fleet, operations, events)
+    if result.max_moved > SHIFT_CAP:
+        result.violations.append(f"cap {SHIFT_CAP}/s: {result.max_moved} in 1 s")
     result.violations += [*runner.problems, *operators.problems]
     servers = {server.name for server in fleet.plan.servers}
     crashes = [x for _, x in fleet.processes.crashes if x not in servers]
@@ -153,7 +153,7 @@
         if x.failure_domain in targets and x.service == shift_service(fleet)
     ]
     senders = deployment.region_instances(source)
-    return most_moved(moved_request_spans(operations, events, senders, servers))
+    return max_moved(moved_request_spans(operations, events, senders, servers))
 
 
 def print_summary(result: SoakResult, directory: Path) -> None:
@@ -161,7 +161,7 @@
     for fault in result.faults:
         print(fault.line())
     print(f"rules changes in force everywhere: {result.changes}")
-    print(f"most moved in 1 s under the cap of {SHIFT_CAP}/s: {result.most_moved}")
+    print(f"most moved in 1 s under the cap of {SHIFT_CAP}/s: {result.max_moved}")
     print(f"requests started on servers: {result.report.started}")
     print(result.report.line())
     for violation in result.violations:
--- a/bench/soak_checks.py
+++ b/bench/soak_checks.py
@@ -56,7 +56,7 @@
     ]
 
 
-def most_moved(spans: Iterable[tuple[float, float]]) -> int:
+def max_moved(spans: Iterable[tuple[float, float]]) -> int:
     """Return the largest number of requests certainly forwarded in one window.
 
     Faults cause bursts of arrivals, so a request counts only if the window contains
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -179,7 +179,7 @@
         name = fault.targets[0]
         self.fleet.kill_instance(name)
         sleep(fault.lasts_s / 2)
-        self.fleet.unlist_instance(name)
+        self.fleet.deregister_instance(name)
         sleep(fault.lasts_s / 2)
         self.fleet.restart_instance(name)
 
@@ -206,7 +206,7 @@
         sleep(fault.lasts_s)
         self.leaving.append(Leaving(name, since, monotonic()))
         self.fleet.set_server_faults(name, ServerFaults())
-        self.fleet.list_server(name, LifeState.LIVE)
+        self.fleet.register_server(name, LifeState.LIVE)
 
     def _inject_platform_faults(self, fault: PlannedFault) -> None:
         self.fleet.set_platform_faults(PLATFORM_FAULTS[fault.kind])
--- a/bench/tests/test_at_most_once.py
+++ b/bench/tests/test_at_most_once.py
@@ -7,8 +7,8 @@
 
 from bench.deployments import blue_mahoe, reduced
 from bench.fleet import Fleet, FleetOptions
-from bench.hops import hop_everything, hop_nothing, set_domain_faults
-from bench.keyed import KeyedCaller
+from bench.hops import end_hops, force_hops, set_domain_faults
+from bench.keyed import KeyedClient
 from bench.rules_tool import apply_rules, current_rules
 from standins.backend_server import ServerFaults
 from standins.platform import PlatformFaults
@@ -48,9 +48,9 @@
     def setUp(self):
         super().setUp()
         self.addresses = self.fleet.addresses
-        self.client_prefix = self.addresses.caller_network("Kingston")
+        self.client_prefix = self.addresses.client_network("Kingston")
         case = self.id().rpartition("test_")[2]
-        self.client = KeyedCaller(self.fleet, case, SERVICE, "Kingston")
+        self.client = KeyedClient(self.fleet, case, SERVICE, "Kingston")
         self.addCleanup(self.fleet.clear_proxy_rules)
         self.fleet.wait_until(self.owner_is_listed, "the owner is listed everywhere")
 
@@ -155,8 +155,8 @@
         self.check_counts(whole=REQUEST_COUNT)
 
     def test_cut_between_owner_and_the_entry_of_another_domain(self):
-        self.addCleanup(hop_nothing, self.fleet, SERVICE, "kingston-1", OWNER)
-        hop_everything(self.fleet, SERVICE, "kingston-1", OWNER, "montego-1")
+        self.addCleanup(end_hops, self.fleet, SERVICE, "kingston-1", OWNER)
+        force_hops(self.fleet, SERVICE, "kingston-1", OWNER, "montego-1")
         requests = self.client.writes(OWNER, REQUEST_COUNT)
         peer = self.addresses.peer(REMOTE).advertise
         self.cut_answers(self.addresses.domain_network("kingston-1"), peer)
--- a/bench/tests/test_caller.py
+++ b/bench/tests/test_caller.py
@@ -6,7 +6,7 @@
 from twisted.internet.task import Clock
 from twisted.web.http_headers import Headers
 
-from bench.caller import Caller, Wanted
+from bench.caller import LoadClient, PlannedOperation
 from bench.load import RegionLoad, Traffic
 from ebonybend.codec import to_json
 from ebonybend.http_client import AnswerLost, HttpAnswer, NotSent
@@ -63,11 +63,11 @@
     """
     clock = Clock()
     load = RegionLoad("r", ("me",), ("127.0.0.1",), ("10.1.1.1",), ("a:1",), ())
-    client = Caller(clock, load, 0)
+    client = LoadClient(clock, load, 0)
     client.http = client.lookups.http = FakeHttp(results)
     traffic = Traffic("filing", method, 1.0, "/file", 60_000)
     body = b"x" if method == "POST" else b""
-    planned = Wanted("op1", traffic, "/file?op=op1", body, monotonic())
+    planned = PlannedOperation("op1", traffic, "/file?op=op1", body, monotonic())
     finished = []
     Deferred.fromCoroutine(client.perform(planned)).addBoth(finished.append)
     while not finished:
--- a/bench/tests/test_caps.py
+++ b/bench/tests/test_caps.py
@@ -7,9 +7,9 @@
 from bench.fleet import Fleet, FleetOptions
 from bench.history import read_server_events
 from bench.load import LoadShape
-from bench.playing import check_run, play
+from bench.playing import check_run, start_load
 from bench.rules_tool import apply_rules
-from bench.windows import between, most_in_window, moved_at
+from bench.windows import between, max_in_window, moved_at
 from standins.backend_server import ServerFaults
 from standins.platform import PlatformFaults
 from standins.proxy_rules import ProxyRule
@@ -35,9 +35,9 @@
 # overflows; at twice that time they answer 160, and the overload overflows.
 SERVICE_MS = 50.0
 SLOW_FACTOR = 2.0
-SHAPE = LoadShape(read_rate=45.0, callers_per_region=3, regions=(SOURCE,))
+SHAPE = LoadShape(read_rate=45.0, clients_per_region=3, regions=(SOURCE,))
 OVERLOAD = LoadShape(
-    read_rate=220.0, callers_per_region=3, regions=(SOURCE,), deadline_ms=1000
+    read_rate=220.0, clients_per_region=3, regions=(SOURCE,), deadline_ms=1000
 )
 OVERLOAD_S = 7.0
 # Entries compare a rule's end with the clock at each heartbeat, every 250 ms.
@@ -116,7 +116,7 @@
         self.fleet.wait_until(self.fleet.instances_ready, "instances are ready")
 
     def test_moved_traffic_stays_under_each_cap(self):
-        load = play(self.fleet, SHAPE, LOAD_S)
+        load = start_load(self.fleet, SHAPE, LOAD_S)
         shifted_at = self.apply(shift_rule(CAP))
         sleep(RAMP_END_S + STEADY_S)
         self.disturb_senders()
@@ -130,7 +130,7 @@
         sleep(max(ended_at + END_SLACK_S + 0.5 - monotonic(), 0.0))
         capped_at = self.apply(CAP_RULE)
         self.slow_down_source()
-        overload = play(self.fleet, OVERLOAD, OVERLOAD_S, seed=2)
+        overload = start_load(self.fleet, OVERLOAD, OVERLOAD_S, seed=2)
         for run in (load, overload):
             run.wait()
         self.check(
@@ -149,10 +149,10 @@
         steady_at = shifted_at + RAMP_END_S
         rate = len(between(moved, steady_at, steady_at + STEADY_S)) / STEADY_S
         peaks = {
-            "shift": most_in_window(between(moved, shifted_at, lowering_at)).count,
-            "lowered": most_in_window(between(moved, lowered_at, ended_at)).count,
+            "shift": max_in_window(between(moved, shifted_at, lowering_at)).count,
+            "lowered": max_in_window(between(moved, lowered_at, ended_at)).count,
             "after the end": len(between(moved, ended_at + END_SLACK_S, capped_at)),
-            "cap": most_in_window(between(moved, capped_at, float("inf"))).count,
+            "cap": max_in_window(between(moved, capped_at, float("inf"))).count,
         }
         overflow = len(between(moved, capped_at, float("inf")))
         print(f"moved: {peaks}, steady {rate:.1f}/s, overflow {overflow}")
--- a/bench/tests/test_configuration.py
+++ b/bench/tests/test_configuration.py
@@ -104,12 +104,15 @@
         for name in names or self.fleet.instances:
             process = f"{name}-entry"
             limit = accepted_at + IN_FORCE_S
-            while self.watch.reached(process, revision) is None and monotonic() < limit:
+            while (
+                self.watch.first_seen_at(process, revision) is None
+                and monotonic() < limit
+            ):
                 sleep(0.05)
-            reached = self.watch.reached(process, revision)
-            self.assertIsNotNone(reached, f"{name} lacks {revision} after 5 s")
-            self.assertLess(reached - accepted_at, IN_FORCE_S, name)
-            slowest = max(slowest, reached - accepted_at)
+            first_seen_at = self.watch.first_seen_at(process, revision)
+            self.assertIsNotNone(first_seen_at, f"{name} lacks {revision} after 5 s")
+            self.assertLess(first_seen_at - accepted_at, IN_FORCE_S, name)
+            slowest = max(slowest, first_seen_at - accepted_at)
         print(f"in force after {slowest:.2f} s")
         self.assertEqual([], self.watch.falls)
 
@@ -261,7 +264,7 @@
         self.assertEqual(0, results[0].status, results[0].output)
         self.assertGreater(results[0].ended_at, removed_at, "reported during the fault")
         for name in self.fleet.instances:
-            lacked = self.watch.lacked(f"{name}-entry", base + 1)
+            last_missing_at = self.watch.last_missing_at(f"{name}-entry", base + 1)
             self.assertGreater(
-                results[0].ended_at, lacked, f"reported too early for {name}"
+                results[0].ended_at, last_missing_at, f"reported too early for {name}"
             )
--- a/bench/tests/test_cut_off.py
+++ b/bench/tests/test_cut_off.py
@@ -6,7 +6,7 @@
 from bench.fleet import Fleet, FleetOptions
 from bench.history import read_server_events
 from bench.load import LoadShape
-from bench.playing import check_run, play
+from bench.playing import check_run, start_load
 from bench.rules_tool import apply_rules, current_rules
 from bench.windows import between, moved_at, recovery
 from standins.platform import PlatformFaults
@@ -21,12 +21,12 @@
 READ_SERVICE, WRITE_SERVICE = "ride-history", "sign-off-filing"
 LOCAL, SIBLING, REMOTE = "kingston-1-a", "kingston-1-b", "montego-1-a"
 SERVICE_MS = 60.0
-MODERATE_LOAD = LoadShape(read_rate=20.0, write_rate=8.0, callers_per_region=4)
+MODERATE_LOAD = LoadShape(read_rate=20.0, write_rate=8.0, clients_per_region=4)
 # 9 slots in Kingston at 60 ms answer 150 reads per second; the rest overflows.
 OVERFLOW_LOAD = LoadShape(
     read_rate=200.0,
     write_rate=0.0,
-    callers_per_region=4,
+    clients_per_region=4,
     deadline_ms=1000,
     regions=("Kingston",),
 )
@@ -101,7 +101,7 @@
         apply_rules(admin, path, "Ben (operations)", "test of convergence")
 
     def test_1_reads_don_t_wait_for_a_paused_instance(self):
-        load = play(self.fleet, MODERATE_LOAD, 6.0, seed=1)
+        load = start_load(self.fleet, MODERATE_LOAD, 6.0, seed=1)
         sleep(1.5)
         self.fleet.pause_instance(SIBLING)
         sleep(3.0)
@@ -114,7 +114,7 @@
 
     def test_2_requests_are_whole_soon_after_a_kill(self):
         for seed, name in ((2, SIBLING), (3, REMOTE)):
-            load = play(self.fleet, MODERATE_LOAD, 6.0, seed)
+            load = start_load(self.fleet, MODERATE_LOAD, 6.0, seed)
             sleep(1.5)
             killed_at = monotonic()
             self.fleet.kill_instance(name)
@@ -126,7 +126,7 @@
 
     def test_3_instances_start_and_serve_without_the_platform(self):
         self.fleet.set_platform_faults(PlatformFaults(down="refuse"))
-        load = play(self.fleet, MODERATE_LOAD, 8.0, seed=4)
+        load = start_load(self.fleet, MODERATE_LOAD, 8.0, seed=4)
         sleep(1.0)
         killed_at = monotonic()
         self.fleet.kill_instance(SIBLING)
@@ -140,9 +140,9 @@
 
     def test_4_a_domain_serves_while_cut_off_and_returns_without_a_surge(self):
         self.apply(1)
-        overflow = play(self.fleet, OVERFLOW_LOAD, 10.0, seed=5)
+        overflow = start_load(self.fleet, OVERFLOW_LOAD, 10.0, seed=5)
         remote_shape = LoadShape(read_rate=20.0, write_rate=8.0, regions=("Montego",))
-        load = play(self.fleet, remote_shape, 10.0, seed=6)
+        load = start_load(self.fleet, remote_shape, 10.0, seed=6)
         sleep(2.0)
         self.cut("montego-1")
         cut_at = monotonic()
--- a/bench/tests/test_leaving.py
+++ b/bench/tests/test_leaving.py
@@ -10,7 +10,7 @@
 from bench.http_calls import must_call
 from bench.load import LoadShape
 from bench.lookup_cache import LookupAnswer
-from bench.playing import play
+from bench.playing import start_load
 from bench.rules_tool import run_tool
 from ebonybend.codec import from_json
 from ebonybend.world import LifeState
@@ -50,19 +50,19 @@
         return read_server_events(self.fleet.server_histories())
 
     def test_server_gets_no_new_work_after_each_way_of_leaving(self):
-        load = play(self.fleet, SHAPE, 9.5, SEED + 1)
+        load = start_load(self.fleet, SHAPE, 9.5, SEED + 1)
         sleep(1.2)
         self.fleet.set_platform_faults(PlatformFaults(list_lag_s=LIST_LAG_S))
         leaving = {BY_HEALTH: monotonic()}
         self.fleet.set_server_faults(BY_HEALTH, ServerFaults(draining=True))
-        self.fleet.list_server(BY_HEALTH, LifeState.LEAVING)
+        self.fleet.register_server(BY_HEALTH, LifeState.LEAVING)
         # The start-up time of the tool counts towards the limit of 3 s.
         leaving[BY_RULE] = monotonic()
         self.drain_by_rule(BY_RULE)
         sleep(max(leaving.values()) + LEAVING_LIMIT_S + 0.5 - monotonic())
         self.fleet.set_platform_faults(PlatformFaults())
         leaving[BY_LIST] = monotonic()
-        self.fleet.list_server(BY_LIST, LifeState.LEAVING)
+        self.fleet.register_server(BY_LIST, LifeState.LEAVING)
         load.wait()
         events = self.events()
         report = check(load.operations(), events, leaving)
@@ -110,7 +110,7 @@
         self.assertEqual([], cut_off)
 
     def test_planned_stop_under_load(self):
-        load = play(self.fleet, LIGHT_SHAPE, 6.5, SEED)
+        load = start_load(self.fleet, LIGHT_SHAPE, 6.5, SEED)
         sleep(1.5)
         instance = self.preferred_instance()
         drained_s = self.stop(instance)
@@ -134,7 +134,7 @@
     def preferred_instance(self):
         """Return the instance that the clients in Kingston use."""
         address = self.fleet.addresses.public("kingston-1-a").listen
-        client = f"{self.fleet.addresses.caller_network('Kingston')}1"
+        client = f"{self.fleet.addresses.client_network('Kingston')}1"
         answer = must_call("GET", address, f"/v1/lookup?client={client}")
         return from_json(answer, LookupAnswer).instances[0].name
 
--- a/bench/tests/test_overload.py
+++ b/bench/tests/test_overload.py
@@ -5,7 +5,7 @@
 from bench.deployments import blue_mahoe, reduced
 from bench.fleet import Fleet, FleetOptions
 from bench.load import LoadShape
-from bench.playing import check_run, play
+from bench.playing import check_run, start_load
 from bench.windows import useful_share
 from standins.backend_server import ServerFaults
 from standins.proxy_rules import ProxyRule
@@ -54,13 +54,15 @@
         return LoadShape(
             read_rate=factor * self.slots(READ_SERVICE) / SERVICE_S / len(regions),
             write_rate=factor * self.slots(WRITE_SERVICE) / SERVICE_S / len(regions),
-            callers_per_region=4,
+            clients_per_region=4,
             deadline_ms=2000,
             regions=regions,
         )
 
-    def play(self, factor, duration_s, seed, **shape_options):
-        return play(self.fleet, self.shape(factor, **shape_options), duration_s, seed)
+    def start_load(self, factor, duration_s, seed, **shape_options):
+        return start_load(
+            self.fleet, self.shape(factor, **shape_options), duration_s, seed
+        )
 
     def assert_within_slots(self, *loads):
         report = check_run(self.fleet, list(loads))
@@ -98,7 +100,7 @@
             "twice, one region": (2.0, ("Kingston",)),
         }
         for seed, (name, (factor, regions)) in enumerate(cases.items(), 1):
-            load = self.play(factor, 6.0, seed, regions=regions)
+            load = self.start_load(factor, 6.0, seed, regions=regions)
             load.wait()
             self.assert_within_slots(load)
             fractions[name] = self.useful_fraction(load)
@@ -118,7 +120,7 @@
         )
         for number, name in enumerate(servers):
             self.fleet.set_server_faults(name, faults[number % len(faults)])
-        load = self.play(2.0, 5.0, 11)
+        load = self.start_load(2.0, 5.0, 11)
         sleep(2.0)
         for name in servers[:2]:
             self.fleet.kill_server(name)
@@ -129,7 +131,7 @@
 
     def test_killed_replaced_and_paused_entries_cause_no_excess(self):
         name = "kingston-1-b"
-        load = self.play(2.0, 18.0, 21)
+        load = self.start_load(2.0, 18.0, 21)
         sleep(1.0)
         self.fleet.kill_instance(name)
         sleep(TAKEOVER_S)
@@ -144,7 +146,7 @@
 
     def test_callers_of_a_lost_region_cause_no_excess_elsewhere(self):
         network = self.fleet.addresses.domain_network("montego-1")
-        load = self.play(1.0, 7.0, 31)
+        load = self.start_load(1.0, 7.0, 31)
         sleep(2.0)
         self.fleet.add_proxy_rules(
             ProxyRule(name="lost", target=network, action="cut"),
--- a/bench/tests/test_platform_node.py
+++ b/bench/tests/test_platform_node.py
@@ -161,7 +161,7 @@
         self.wait_until(
             lambda: self.send("/a/x")[1] and self.has_run("signoff"), APPLY_LIMIT_S
         )
-        self.store.state.forget_history()
+        self.store.state.drop_history()
         self.store.state.put("config", "main", config_object(6, "history", "/c/"))
         self.wait_until(lambda: self.send("/c/x")[0] == 200, APPLY_LIMIT_S)
         self.store.state.put("config", "main", config_object(5, "history", "/a/"))
@@ -179,10 +179,10 @@
         self.wait_until(lambda: self.send("/a/x")[0] == 503, DRAIN_LIMIT_S)
 
     def test_5_serves_while_the_store_is_away(self):
-        self.store.state.refuse_with = 503
+        self.store.state.error_status = 503
         sleep(0.3)
         self.assertEqual(200, self.send("/a/x")[0])
-        self.store.state.refuse_with = None
+        self.store.state.error_status = None
         self.store.state.put("config", "main", config_object(2, "signoff"))
         self.wait_until(
             lambda: self.send("/a/x")[0] and self.has_run("signoff"), APPLY_LIMIT_S
--- a/bench/tests/test_soak.py
+++ b/bench/tests/test_soak.py
@@ -6,7 +6,7 @@
 
 from bench.deployments import blue_mahoe, reduced
 from bench.soak import run_soak
-from bench.soak_checks import late_work, most_moved
+from bench.soak_checks import late_work, max_moved
 from bench.soak_faults import Leaving, plan_faults
 from standins.server_history import ServerEvent
 
@@ -45,9 +45,9 @@
         # Guards against a cap check that misses an excess, or reports one when a fault
         # delays requests so that they arrive together.
         short_spans = [(x / 10, x / 10 + 0.05) for x in range(12)]
-        self.assertEqual(10, most_moved(short_spans))
+        self.assertEqual(10, max_moved(short_spans))
         long_spans = [(x / 10, 1.5) for x in range(12)]
-        self.assertEqual(6, most_moved(long_spans))
+        self.assertEqual(6, max_moved(long_spans))
 
     def test_late_work_count(self):
         # Guards against work on a leaving server that the check doesn't count.
--- a/bench/tests/test_whole_answers.py
+++ b/bench/tests/test_whole_answers.py
@@ -5,9 +5,9 @@
 
 from bench.deployments import blue_mahoe, reduced
 from bench.fleet import Fleet, FleetOptions
-from bench.hops import hop_everything, hop_nothing, service_servers
+from bench.hops import end_hops, force_hops, service_servers
 from bench.load import LoadShape
-from bench.playing import check_run, play
+from bench.playing import check_run, start_load
 from bench.raw_reads import RawRead, RawReader
 from standins.proxy_rules import ProxyRule
 
@@ -63,10 +63,10 @@
         self.fleet.add_proxy_rules(rule)
 
     def test_truncated_between_caller_and_entry(self):
-        load = play(self.fleet, LoadShape(read_rate=20.0), 4.0, SEED)
+        load = start_load(self.fleet, LoadShape(read_rate=20.0), 4.0, SEED)
         sleep(0.7)
         for offset in CUT_OFFSETS:
-            self.truncate(self.fleet.addresses.caller_network("Kingston"), "", offset)
+            self.truncate(self.fleet.addresses.client_network("Kingston"), "", offset)
             sleep(0.3)
         self.fleet.clear_proxy_rules()
         load.wait()
@@ -119,8 +119,8 @@
 
     def drain_domain(self, domain):
         """Drain a domain, so that only another domain's servers serve the service."""
-        self.addCleanup(hop_nothing, self.fleet, SERVICE, domain, LOCAL)
-        hop_everything(self.fleet, SERVICE, domain, LOCAL, "montego-1")
+        self.addCleanup(end_hops, self.fleet, SERVICE, domain, LOCAL)
+        force_hops(self.fleet, SERVICE, domain, LOCAL, "montego-1")
 
     def test_late_answers_and_reuse_after_a_timeout(self):
         # The late answer arrives while the next request waits for its answer.
--- a/bench/tests/test_whole_path.py
+++ b/bench/tests/test_whole_path.py
@@ -5,7 +5,7 @@
 from bench.deployments import blue_mahoe, reduced
 from bench.fleet import Fleet, FleetOptions
 from bench.load import LoadShape
-from bench.playing import check_run, play
+from bench.playing import check_run, start_load
 
 # Short times for the takeover of slots, to shorten the tests.
 SHORT_TIMEOUT_FLAGS = (
@@ -31,7 +31,7 @@
         self.assertTrue(report.ok, f"{report.line()} {report.examples}")
 
     def test_reads_and_writes_are_answered_whole(self):
-        load = play(self.fleet, LoadShape(), 4.0)
+        load = start_load(self.fleet, LoadShape(), 4.0)
         load.wait()
         report = check_run(self.fleet, [load])
         self.assert_no_violation(report)
@@ -39,10 +39,10 @@
         self.assertEqual(report.sent, report.whole, report.line())
 
     def test_kill_and_drain_break_no_promise(self):
-        load = play(self.fleet, LoadShape(), 8.0)
+        load = start_load(self.fleet, LoadShape(), 8.0)
         sleep(2.0)
         self.fleet.kill_instance("kingston-1-b")
-        self.fleet.unlist_instance("kingston-1-b")
+        self.fleet.deregister_instance("kingston-1-b")
         sleep(1.0)
         self.fleet.drain_server(DRAINED_SERVER)
         load.wait()
--- a/bench/tests/test_windows.py
+++ b/bench/tests/test_windows.py
@@ -1,7 +1,7 @@
 from testtools import TestCase
 
 from bench.load import Operation
-from bench.windows import most_in_window, recovery, useful_share
+from bench.windows import max_in_window, recovery, useful_share
 
 
 def operation(at, result="whole", client="c"):
@@ -15,9 +15,9 @@
 
     def test_window_slides_and_leaves_out_its_start(self):
         times = [0.0, 0.5, 0.9, 0.95, 1.4]
-        peak = most_in_window(times, 0.95)
+        peak = max_in_window(times, 0.95)
         self.assertEqual((4, 1.4), (peak.count, peak.at))
-        self.assertEqual(0, most_in_window([]).count)
+        self.assertEqual(0, max_in_window([]).count)
 
     def test_recovery_ends_with_the_last_window_that_is_not_whole(self):
         operations = [operation(x / 20) for x in range(200)]
--- a/bench/windows.py
+++ b/bench/windows.py
@@ -25,7 +25,7 @@
     at: float = 0.0
 
 
-def most_in_window(times: Iterable[float], window_s: float = CAP_WINDOW_S) -> Peak:
+def max_in_window(times: Iterable[float], window_s: float = CAP_WINDOW_S) -> Peak:
     """Return the largest number of times in any half-open window."""
     window: deque[float] = deque()
     peak = Peak()
--- a/ebonybend/control/entry_server.py
+++ b/ebonybend/control/entry_server.py
@@ -74,13 +74,13 @@
             await Deferred.fromFuture(ensure_future(self.server.stop(0.1)))
 
 
-def _grpc_handler(function: Callable[[Any], Awaitable[Any]], kind: type) -> Any:
+def _grpc_handler(function: Callable[[Any], Awaitable[Any]], message_type: type) -> Any:
     async def call(request: Any, context: Any) -> Any:
         result = Deferred.fromCoroutine(function(request))
         return await result.asFuture(get_running_loop())
 
     return unary_unary_rpc_method_handler(
         call,
-        request_deserializer=partial(unpack, kind=kind),
+        request_deserializer=partial(unpack, message_type=message_type),
         response_serializer=pack,
     )
--- a/ebonybend/entry/control_client.py
+++ b/ebonybend/entry/control_client.py
@@ -90,7 +90,7 @@
         return self.channel.unary_unary(
             path,
             request_serializer=pack,
-            response_deserializer=partial(unpack, kind=reply),
+            response_deserializer=partial(unpack, message_type=reply),
         )
 
     def stop(self) -> Deferred[Any]:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -148,7 +148,7 @@
             if remaining_s <= 0:
                 break
             await self._wait_for_change(kind, remaining_s, request)
-            if getattr(request.raw, "gone", False):
+            if getattr(request.raw, "client_disconnected", False):
                 break
         return list_answer(self.store.changes(kind, since))
 
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -25,7 +25,7 @@
         # Watches from below this revision get 410.
         self.compacted_revision = 0
         # Status with which every call is answered, if set.
-        self.refuse_with: int | None = None
+        self.error_status: int | None = None
 
     def put(self, kind: str, name: str, spec: Any) -> dict[str, Any]:
         """Write an object, regardless of its revision."""
@@ -40,7 +40,7 @@
             removed["Metadata"]["Rev"] = self.revision
             self._record_change(kind, removed, True)
 
-    def forget_history(self) -> None:
+    def drop_history(self) -> None:
         """Drop the history, so that watches from earlier revisions get 410."""
         with self.changed:
             self.revision += 1
@@ -120,8 +120,8 @@
         length = int(self.headers.get("Content-Length", 0))
         body = json.loads(self.rfile.read(length)) if length else {}
         state: PlatformStoreState = self.server.state
-        if state.refuse_with is not None:
-            status, value = state.refuse_with, {"Error": "refused"}
+        if state.error_status is not None:
+            status, value = state.error_status, {"Error": "refused"}
         else:
             status, value = self._dispatch(state, body)
         data = json.dumps(value).encode()
