--- a/bench/caller.py
+++ b/bench/caller.py
@@ -68,7 +68,8 @@
     """The attempts of an operation and the key that a write is bound to."""
 
     attempts: list[Attempt] = field(factory=list)
-    # Set once bytes may have been sent; only a refusal that covers the key clears it.
+    # Set before an attempt. Cleared by a refusal that covers the key, or if no attempt
+    # so far has sent a byte.
     bound_key: str = ""
     fault: str = ""
 
@@ -115,7 +116,7 @@
         return planned.deadline - monotonic()
 
     async def _candidates(self, history: AttemptHistory) -> tuple[ListedInstance, ...]:
-        """Return the listed instances, the most recently used one last."""
+        """Return the listed instances, the one of the last attempt last."""
         listed = await self.lookups.get()
         if not history.attempts:
             return listed
@@ -215,6 +216,7 @@
     ) -> Attempt:
         outcome = answer.header("Ebonybend-Outcome")
         if outcome not in VALID_OUTCOMES:
+            # Recorded as an answer, so that the attempts end and the result is "wrong".
             history.fault = f"outcome {outcome!r}, status {answer.status}"
             outcome = "answered"
         elif outcome == "answered" and not answer.header("Ebonybend-Error"):
--- a/bench/tests/test_cut_off.py
+++ b/bench/tests/test_cut_off.py
@@ -22,7 +22,7 @@
 LOCAL, SIBLING, REMOTE = "kingston-1-a", "kingston-1-b", "montego-1-a"
 SERVICE_MS = 60.0
 MODERATE_LOAD = LoadShape(read_rate=20.0, write_rate=8.0, clients_per_region=4)
-# 9 slots in Kingston at 60 ms answer 150 reads per second; the rest overflows.
+# 9 slots in Kingston at 60 ms answer 150 reads per second; the rest goes to Montego.
 OVERFLOW_LOAD = LoadShape(
     read_rate=200.0,
     write_rate=0.0,
@@ -36,10 +36,11 @@
 RECOVERY_LIMIT_S = 3.0
 # The design's target for accepted rules on reachable instances.
 CONVERGE_LIMIT_S = 5.0
-# A window starts at 1 after a cut and grows by one in each round trip of at least
-# 2 x 55 ms + 42 ms (the shortest service), so after n rounds a sender has sent at
-# most 1 + 2 + ... + n requests; 1 s has 7 rounds, and a cut that begins in a round
-# adds the requests of one more.
+# Each sender (an instance in Kingston) limits its requests in flight to the other
+# domain by a window. Failures during a cut shrink it to 1. After that it grows by one
+# in each round trip of at least 2 x 55 ms + 42 ms (the shortest service time, 30% below
+# the mean), so after n rounds a sender has sent at most 1 + 2 + ... + n requests. 1 s
+# has 7 rounds, and a second that begins within a round adds the requests of one more.
 SENDERS = 2
 ROUNDS_PER_S = 7
 MAX_IN_FIRST_SECOND = SENDERS * sum(range(1, ROUNDS_PER_S + 2))
--- a/ebonybend/entry/heartbeats.py
+++ b/ebonybend/entry/heartbeats.py
@@ -70,7 +70,9 @@
         self.send()
 
     def send(self, force: bool = False) -> Deferred[Any]:
-        """Send a heartbeat to every other member; fires when all calls have ended.
+        """Send a heartbeat to each other member.
+
+        The returned Deferred fires when all calls have ended.
 
         A member with an unanswered heartbeat gets another one only if force is set.
         """
@@ -96,6 +98,7 @@
             if error.refused:
                 self.ledger.record_refused_connection(name)
         except RequestFailed:
+            # Without an answer the peer's process may still be running.
             pass
         finally:
             self._pending.discard(name)
--- a/ebonybend/node/decisions.py
+++ b/ebonybend/node/decisions.py
@@ -20,16 +20,17 @@
     def __init__(self, per_s: int):
         self.per_s = per_s
         self.second = -1
-        self.written = 0
+        # Lines requested in the current second, dropped ones included.
+        self.requested = 0
         self.dropped = 0
 
     def allow(self, now: float) -> bool:
         """Return whether a line may be written."""
         if int(now) != self.second:
             self.second = int(now)
-            self.written = 0
-        self.written += 1
-        if self.written > self.per_s:
+            self.requested = 0
+        self.requested += 1
+        if self.requested > self.per_s:
             self.dropped += 1
             return False
         return True
@@ -94,6 +95,7 @@
             self.answers.pop_dropped_count(),
             self.failures.pop_dropped_count(),
         )
+        # Lines dropped because the reader of the log is too slow or has stopped.
         unread, self.file.dropped = self.file.dropped, 0
         if answers or failures or unread:
             get_logger().info(
--- a/ebonybend/node/service.py
+++ b/ebonybend/node/service.py
@@ -304,7 +304,7 @@
         self.heartbeats.send_to_all()
 
     def close_ports(self) -> None:
-        """Stop accepting connections, and close the idle ones."""
+        """Close the client and directory ports, and the idle client connections."""
         for address in (self.settings.callers_address, self.settings.directory_address):
             self.ports[address].stopListening()
         self.client_site.close_idle()
--- a/ebonybend/steering/table.py
+++ b/ebonybend/steering/table.py
@@ -13,6 +13,7 @@
     name: str
     service: str
     address: str
+    # Greatest numbers of concurrent requests and of open connections.
     slots: int
     connections: int
     state: ServerState
@@ -36,6 +37,7 @@
     state: LifeState
     # Ready to serve clients: its entry process reported within the last seconds.
     ready: bool
+    # Minutes since the start of its entry process; part of the keys that it issues.
     key_epoch: int
     rules_revision: int
     age_ms: float = 0.0
@@ -100,6 +102,7 @@
 
     rule_text: str
     sent: int
+    # Requests that this entry may send per window, including leased quota.
     units: int
 
 
@@ -138,18 +141,19 @@
 
 @frozen
 class NoticeRequest:
-    """Ask the control to answer as soon as it has an urgent notice.
+    """Long poll that ends when the control has a notice, or after a maximum wait.
 
-    An urgent notice can't wait for the entry's next report.
+    A notice asks the entry process to report at once, because the answer to the report
+    carries a change that can't wait for the next periodic report.
     """
 
-    # Notices that the entry process has received, counted since the control's start.
+    # Number in the last reply that the entry process received; 0 before the first.
     taken: int
 
 
 @frozen
 class NoticeReply:
-    """The number of notices that the control has sent."""
+    """The number of notices that the control has posted since its start."""
 
     told: int
 
--- a/ebonybend/steering/tests/test_regions.py
+++ b/ebonybend/steering/tests/test_regions.py
@@ -144,8 +144,10 @@
     ]
 
     def test_lost(self):
-        slots = SlotLossDetector()
-        lost = [slots.update(count, now * 1.0) for now, count in enumerate(self.counts)]
+        detector = SlotLossDetector()
+        lost = [
+            detector.update(count, now * 1.0) for now, count in enumerate(self.counts)
+        ]
         self.assertEqual(self.lost, lost)
 
 
--- a/standins/proxy_flow.py
+++ b/standins/proxy_flow.py
@@ -46,6 +46,7 @@
     def __init__(self, reactor: Any, links: dict[str, LinkSchedule], reset: Callable):
         self.reactor = reactor
         self.links = links
+        # Resets the connection in both directions.
         self.reset = reset
         self.effect = DirectionEffect()
         self.queue: deque[_Chunk] = deque()
