--- a/ebonybend/node/stop.py
+++ b/ebonybend/node/stop.py
@@ -1,4 +1,4 @@
-"""Stop a node within its grace time without aborting requests."""
+"""Stop a node within its grace time; abort only the requests still running then."""
 
 from collections.abc import Callable
 from typing import Any
