--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -41,7 +41,7 @@
     # The service whose requests are writes.
     write_service: str
     servers: tuple[PlannedServer, ...]
-    # Words used in the names of clients.
+    # Words used in the names of clients, in rotation.
     client_roles: tuple[str, ...] = field(default=())
 
     @property
@@ -146,7 +146,7 @@
 ) -> DeploymentPlan:
     """Return a deployment reduced to some failure domains and services.
 
-    An empty services keeps all of them.
+    If services is empty, all services remain.
     """
     services = services or tuple(x.name for x in plan.deployment.services)
     selected = tuple(x for x in plan.deployment.failure_domains if x.name in domains)
--- a/bench/history.py
+++ b/bench/history.py
@@ -11,7 +11,7 @@
 from bench.load import Operation
 from standins.server_history import ServerEvent
 
-# A leaving backend server receives no new requests after this time.
+# Time after a backend server began to leave from which it must receive no requests.
 LEAVING_LIMIT_S = 3.0
 EXAMPLES_PER_FAULT = 5
 
@@ -20,7 +20,9 @@
 class Report:
     """Counts and faults from the records of clients and backend servers."""
 
+    # Operations of all clients. The next five counts divide them by result.
     sent: int = 0
+    # Operations with a complete, correct answer.
     whole: int = 0
     not_run: int = 0
     unknown: int = 0
@@ -37,11 +39,14 @@
     over_slots: int = 0
     # Requests that reached a backend server more than 3 s after it began to leave.
     late_work: int = 0
-    # Requests that a backend server refused because no slot was free.
+    # Requests that a backend server refused for another reason than draining.
     sheds: int = 0
+    # Requests that a backend server began to run.
     started: int = 0
+    # Maxima per backend server.
     highest_in_flight: dict[str, int] = field(factory=dict)
     highest_connections: dict[str, int] = field(factory=dict)
+    # First examples of each kind of fault, by the name of its count.
     examples: dict[str, list[str]] = field(factory=dict)
 
     @property
--- a/bench/tests/test_leaving.py
+++ b/bench/tests/test_leaving.py
@@ -28,9 +28,11 @@
 )
 OPTIONS = FleetOptions(daemon_flags=DAEMON_FLAGS, cold_s=0.2, service_ms=SERVICE_MS)
 SHAPE = LoadShape(read_rate=10.0, write_rate=5.0)
-# The slots of the other instances always suffice for this load, so that only the stop
-# can cause a refusal.
+# The slots assigned to the other instances always suffice for this load, so that only
+# the stop can cause a refusal.
 LIGHT_SHAPE = LoadShape(read_rate=5.0, write_rate=3.0)
+# Longer than the test, so that the platform's list can't report the server that leaves
+# by its health report.
 LIST_LAG_S = 30.0
 # Servers that leave by their health report, by a drain rule and by the list alone.
 BY_HEALTH, BY_RULE, BY_LIST = "ride-history-01", "ride-history-02", "ride-history-05"
--- a/ebonybend/entry/control_client.py
+++ b/ebonybend/entry/control_client.py
@@ -72,7 +72,10 @@
         self._tasks.start(self._watch_notices())
 
     async def _watch_notices(self) -> None:
-        """Long-poll for notices; send a report at once for each new one."""
+        """Long-poll for urgent notices; send a report at once for each new one.
+
+        The reply to the report contains what is urgent; a notice is only a count.
+        """
         last_notice = 0
         while not self._tasks.stopped and self.channel is not None:
             call = self._notice(NoticeRequest(last_notice), timeout=NOTICE_TIMEOUT_S)
--- a/ebonybend/entry/owner.py
+++ b/ebonybend/entry/owner.py
@@ -29,6 +29,7 @@
 from ebonybend.steering.outcomes import KnownOutcome, KnownOutcomeState
 from ebonybend.steering.suspects import fingerprint
 
+# Retry delay sent to clients while the key registry is full.
 FULL_RETRY_AFTER_MS = 1000
 
 _REFUSALS = {
--- a/ebonybend/node/tests/test_kept_state.py
+++ b/ebonybend/node/tests/test_kept_state.py
@@ -80,7 +80,8 @@
     """Guards against cold objects after all nodes of a region restart at once.
 
     The region had assigned most of its objects to another region, and restarts under
-    load.
+    load. Without the saved shares, objects would move back to servers on which they
+    are cold.
     """
 
     scenarios = [
@@ -106,7 +107,7 @@
 
 
 class WriterTest(TestWithScenarios, TestCase):
-    """Guards against needless writes to the store."""
+    """Guards against needless writes to the store, and writes that are not retried."""
 
     scenarios = [
         ("the first node of the region", {"own": FIRST, "writes": 1}),
--- a/ebonybend/rules/tests/test_check.py
+++ b/ebonybend/rules/tests/test_check.py
@@ -32,23 +32,29 @@
     """Guards against a rule that can't do what its author expects."""
 
     scenarios = [
-        ("service", {"rule": "refuse service=t", "say": "unknown service 't'"}),
-        ("region", {"rule": "cap from=A to=D rate=1/s", "say": "unknown region 'D'"}),
-        ("instance", {"rule": "drain instance=s-01", "say": "unknown instance"}),
-        ("backend", {"rule": "drain backend=a-1", "say": "unknown backend server"}),
-        ("cap", {"rule": "cap from=A to=B rate=0/s", "say": "at least 1/s"}),
+        ("service", {"rule": "refuse service=t", "expected": "unknown service 't'"}),
+        (
+            "region",
+            {"rule": "cap from=A to=D rate=1/s", "expected": "unknown region 'D'"},
+        ),
+        ("instance", {"rule": "drain instance=s-01", "expected": "unknown instance"}),
+        (
+            "backend",
+            {"rule": "drain backend=a-1", "expected": "unknown backend server"},
+        ),
+        ("cap", {"rule": "cap from=A to=B rate=0/s", "expected": "at least 1/s"}),
         (
             "shift",
             {
                 "rule": "shift service=s from=A to=B share=1% cap=0/s",
-                "say": "at least 1/s",
+                "expected": "at least 1/s",
             },
         ),
         (
             "over",
             {
                 "rule": "drain instance=a-1 until=2026-01-01T00:00:00Z",
-                "say": "already passed",
+                "expected": "already passed",
             },
         ),
     ]
@@ -56,7 +62,7 @@
     def test_one_error_on_its_line(self):
         (error,) = check(self.rule)
         self.assertEqual(2, error.line)
-        self.assertIn(self.say, error.message)
+        self.assertIn(self.expected, error.message)
 
 
 class SharesTest(TestCase):
@@ -64,8 +70,8 @@
 
     def test_sum_above_100_percent_is_refused_at_the_exceeding_rule(self):
         shift = "shift service=s from=A to={} share={} cap=1/s"
-        whole = shift.format("B", "70.01%"), shift.format("C", "29.99%")
-        self.assertEqual((), check(*whole))
+        full_shifts = shift.format("B", "70.01%"), shift.format("C", "29.99%")
+        self.assertEqual((), check(*full_shifts))
         (error,) = check(shift.format("B", "70.01%"), shift.format("C", "30%"))
         self.assertEqual(4, error.line)
         self.assertIn("more than 100%", error.message)
@@ -79,7 +85,11 @@
 
 
 class CompileTest(TestCase):
-    """Guards against rules in force after their end, and loss of an older text."""
+    """Guards against rules in force after their end, and the loss of a whole text.
+
+    An older version may have accepted a line that this version can't parse; the other
+    lines have to stay in force.
+    """
 
     def test_rules_end_at_their_time(self):
         text = f"{COMMENT}drain backend=x until=2027-01-15T08:00:00Z\n"
--- a/ebonybend/steering/placement.py
+++ b/ebonybend/steering/placement.py
@@ -25,7 +25,7 @@
 URGENT_LOAD_LIMIT = 3.0
 RETRY_LOAD_LIMIT = 2.4
 LOAD_LIMIT = 1.4
-# The same limit while the service time is unknown.
+# Upper bound of these limits while the wait in the queue can't be estimated.
 UNKNOWN_TIME_LOAD_LIMIT = 1.2
 # Slots that less urgent requests leave free where urgent ones would be late if queued.
 RESERVED_SLOTS = 1
--- a/ebonybend/tool/submit.py
+++ b/ebonybend/tool/submit.py
@@ -79,7 +79,10 @@
 def refused_result(
     failure: ConflictAnswer | CheckAnswer, base: int, name: str, header_lines: int = 0
 ) -> VerbResult:
-    """Return the result of a refused change, with the line numbers of the file."""
+    """Return the result of a refused change, with the line numbers of the file.
+
+    header_lines is the number of lines of the file that were not sent.
+    """
     if isinstance(failure, ConflictAnswer):
         return _conflict_result(failure, base)
     errors = tuple(evolve(e, line=e.line + header_lines) for e in failure.errors)
--- a/ebonybend/tool/tests/fake_admin.py
+++ b/ebonybend/tool/tests/fake_admin.py
@@ -39,19 +39,20 @@
     lagging: frozenset[str] = frozenset()
     # Instances that are planned but not listed by the platform.
     unlisted: frozenset[str] = frozenset()
-    # Number of next PUTs that take effect but get no answer.
+    # Number of the next PUTs that take effect but get no answer.
     lost_answers: int = 0
-    # Number of next PUTs that have no effect and get no answer.
+    # Number of the next PUTs that have no effect and get no answer.
     lost_requests: int = 0
-    # Number of next PUTs before which another operator's change is accepted.
+    # Number of the next PUTs before which another operator's change is accepted.
     conflicts: int = 0
-    # Errors that only the control detects.
+    # Errors returned for each text that can be parsed, as if only the API found them.
     errors: tuple[RuleError, ...] = ()
     # Sent as the body of each answer in place of the correct one.
     body_override: bytes | None = None
     # Number of bytes missing at the end of each answer.
     truncated_bytes: int = 0
-    # Status, error kind and outcome that the next PUTs answer after taking effect.
+    # Status, error kind and outcome in the answers to the next PUTs, last item first.
+    # The PUTs take effect.
     error_answers: list[tuple[int, str, str]] = field(factory=list)
     revisions_by_change_id: dict[str, int] = field(factory=dict)
     requests: list[str] = field(factory=list)
@@ -75,7 +76,7 @@
         return instance if is_lagging else evolve(instance, rules_revision=revision)
 
     def put(self, headers: dict[str, str], text: str) -> tuple[int, object]:
-        """Return the status and the body of the specified answer to a PUT."""
+        """Apply a PUT as the real API does; return the answer's status and body."""
         if self.conflicts:
             self.conflicts -= 1
             other_text = (
@@ -97,7 +98,7 @@
         return 200, ApplyAnswer(self.accept(text, author, reason, change_id), change_id)
 
     def current_status(self) -> StatusAnswer:
-        """Return the status with the listed instances that lack the revision."""
+        """Return the status; it waits for the listed instances without the revision."""
         unconfirmed = tuple(
             i.name
             for i in self.status.instances
--- a/standins/backend_server.py
+++ b/standins/backend_server.py
@@ -41,8 +41,9 @@
 class ServerFaults:
     """The faults to inject; a POST to /faults replaces them all."""
 
+    # Refuse all new requests, and report draining in /health and in each answer.
     draining: bool = False
-    # Refuse all new requests as not run.
+    # Refuse all new requests as not run, but report no draining.
     shed: bool = False
     # Age of the in-flight count that /health reports.
     health_lag_s: float = 0.0
@@ -62,6 +63,7 @@
 
     name: str
     slots: int
+    # Maximum number of open connections.
     connections: int = 300
     service_ms: float = 20.0
     # Largest random deviation of the service time, as a fraction of it.
@@ -109,7 +111,7 @@
         self.history = history
         self.random = Random(options.name)
         self.faults = ServerFaults()
-        # Number of answers that are still to be lost.
+        # Remaining number of answers to lose.
         self.lose_answers = 0
         self.in_flight = 0
         # The site that serves the requests; None until it listens.
@@ -227,6 +229,7 @@
 
     async def _health(self) -> OutgoingAnswer:
         if self.faults.health_silent:
+            # This never fires.
             await Deferred()
         state = "cold" if self._is_cold() else "ready"
         if self.faults.draining:
@@ -270,12 +273,16 @@
     flags.DEFINE_string("listen", "127.0.0.1:9000", "Address for requests.", **target)
     flags.DEFINE_string("faults", "127.0.0.1:9001", "Admin port.", **target)
     flags.DEFINE_string("history", "/dev/null", "File for the history.", **target)
-    flags.DEFINE_integer("slots", default.slots, "Requests at a time.", **target)
+    flags.DEFINE_integer("slots", default.slots, "Concurrent requests.", **target)
     flags.DEFINE_integer("connections", default.connections, "Connections.", **target)
     flags.DEFINE_float("service_ms", default.service_ms, "Mean service time.", **target)
-    flags.DEFINE_float("spread", default.spread, "Random part of it, 0 to 1.", **target)
+    flags.DEFINE_float(
+        "spread", default.spread, "Deviation of service_ms, 0 to 1.", **target
+    )
     flags.DEFINE_float("cold_s", default.cold_s, "Length of the cold start.", **target)
-    flags.DEFINE_float("cold_factor", default.cold_factor, "Cold slow-down.", **target)
+    flags.DEFINE_float(
+        "cold_factor", default.cold_factor, "Factor while cold.", **target
+    )
 
 
 def read_options(values: flags.FlagValues) -> ServerOptions:
