--- a/ebonybend/rules/model.py
+++ b/ebonybend/rules/model.py
@@ -32,7 +32,8 @@
     target: str
     # Fraction of the requests that arrive in the source region, 0 to 1.
     share: float
-    # Maximum number of requests moved in any window of one second, over all senders.
+    # Maximum number of requests moved in any window of one second, over all entry
+    # instances of the source region.
     cap_per_second: int
 
 
@@ -43,7 +44,8 @@
     source: str
     target: str
     service: str | None = None
-    # Maximum number of requests in any window of one second, over all senders.
+    # Maximum number of requests in any window of one second, over all entry instances
+    # of the source region.
     cap_per_second: int
 
 
--- a/ebonybend/steering/admission.py
+++ b/ebonybend/steering/admission.py
@@ -10,7 +10,8 @@
 # Slow start adds a slot at least this often, so that an idle server is fully usable
 # after about a second.
 SLOW_START_STEP_S = 0.25
-# After a shed request the limit grows by one in each period of this length.
+# A shed request halves the limit, which then grows by one in each period of this
+# length.
 BACK_OFF_STEP_S = 1.0
 # Failures lose half of their weight in this time, so that a server is tried again.
 FAILURE_HALF_LIFE_S = 3.0
--- a/standins/proxy_target.py
+++ b/standins/proxy_target.py
@@ -1,4 +1,4 @@
-"""Monitor whether a target accepts connections, so that its listener can refuse."""
+"""Monitor whether a target accepts connections; if not, its listener refuses them."""
 
 from collections.abc import Callable
 from typing import Any
